--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -43,26 +43,26 @@
 
 /// An order to an engine that is the first of an answer's path: run the rest
 /// of it along \p stages, whose first is the engine itself.
-struct RepathOrder {
+struct RerouteOrder {
   std::string request_id;
   std::vector<pipeline::Stage> stages;
 
-  friend bool operator==(const RepathOrder&, const RepathOrder&) = default;
+  friend bool operator==(const RerouteOrder&, const RerouteOrder&) = default;
 };
 
 /// A caller's question where to connect.
-struct EntryQuestion {
+struct EntryRequest {
   std::string failure_domain;
 
-  friend bool operator==(const EntryQuestion&, const EntryQuestion&) = default;
+  friend bool operator==(const EntryRequest&, const EntryRequest&) = default;
 };
 
 /// A call of the store without a byte of an answer for so long counts as lost.
 /// A slow store takes a quarter of a second.
-inline constexpr Duration kLongestStoreCall = std::chrono::milliseconds(600);
+inline constexpr Duration kStoreInactivityTimeout = std::chrono::milliseconds(600);
 /// The same for the whole answer. Where all instances of a large fleet start
 /// anew and read at once, a configuration of 300 KB comes to each in a second.
-inline constexpr Duration kLongestStoreAnswer = std::chrono::milliseconds(3000);
+inline constexpr Duration kStoreResponseTimeout = std::chrono::milliseconds(3000);
 
 /// The store's calls. Every callback runs once, later, on the loop's thread.
 template <typename S>
@@ -83,7 +83,7 @@
 concept Adapter = requires(const std::string& text, std::string_view target,
                            const store::Object& object,
                            const placement::PlaceOrder& order,
-                           const RepathOrder& repath, int status,
+                           const RerouteOrder& repath, int status,
                            const std::vector<std::string>& addresses,
                            Duration length) {
   requires ObjectStore<typename A::Store>;
@@ -98,13 +98,13 @@
   { A::ReportRequest() } -> std::same_as<http::Request>;
   { A::ToReport(text) } -> std::same_as<std::optional<EndpointReport>>;
   { A::OrderRequest(order) } -> std::same_as<http::Request>;
-  { A::RepathRequest(repath) } -> std::same_as<http::Request>;
-  { A::ToRepathFault(text) } -> std::same_as<std::string>;
+  { A::RerouteRequest(repath) } -> std::same_as<http::Request>;
+  { A::ToRerouteFault(text) } -> std::same_as<std::string>;
   { A::PathText(repath.stages) } -> std::same_as<std::string>;
   { A::ToOrderEnd(status) } -> std::same_as<placement::OrderEnd>;
-  { A::IsReadyQuestion(target) } -> std::same_as<bool>;
-  { A::ToEntryQuestion(target) } -> std::same_as<std::optional<EntryQuestion>>;
-  { A::EntryAnswer(addresses, length) } -> std::same_as<std::string>;
+  { A::IsReadinessRequest(target) } -> std::same_as<bool>;
+  { A::ToEntryRequest(target) } -> std::same_as<std::optional<EntryRequest>>;
+  { A::EntryResponse(addresses, length) } -> std::same_as<std::string>;
 };
 
 }  // namespace toucanwharf::instance
--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -21,7 +21,7 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/engine_probe.h"
 #include "toucanwharf/instance/settings.h"
 #include "toucanwharf/support/random.h"
@@ -32,7 +32,7 @@
 struct EngineCalls {
   http::Request report;
   std::function<std::optional<EndpointReport>(const std::string&)> to_report;
-  std::function<http::Request(const RepathOrder&)> repath;
+  std::function<http::Request(const RerouteOrder&)> repath;
   std::function<std::string(const std::vector<pipeline::Stage>&)> path_text;
   /// Returns the address of the engine that keeps a change of path from being
   /// made, from the refusal's body; empty if it names none.
@@ -70,13 +70,13 @@
   std::uint64_t answered = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t broken_off = 0;
+  std::uint64_t aborted = 0;
   std::uint64_t timed_out = 0;
-  std::uint64_t left_by_caller = 0;
-  std::uint64_t tried_again = 0;
+  std::uint64_t caller_disconnected = 0;
+  std::uint64_t retried = 0;
   std::uint64_t resumed = 0;
   std::uint64_t stalls = 0;
-  std::uint64_t repathed = 0;
+  std::uint64_t rerouted = 0;
   std::uint64_t queued = 0;
   std::uint64_t extra_arrivals = 0;
   std::uint64_t retries_denied = 0;
@@ -87,7 +87,7 @@
                          const GatewayCounters&) = default;
 };
 
-class Passage;
+class ProxiedRequest;
 
 /// Passes callers' requests on to endpoints and their answers back.
 /// Thread safety: only on the loop's thread.
@@ -95,7 +95,7 @@
  public:
   /// Precondition: all references outlive the gateway.
   Gateway(http::Loop& event_loop, http::Client& http_client,
-          Beliefs& shared_beliefs, eventlog::Logger& log,
+          InstanceState& shared_state, eventlog::Logger& log,
           const InstanceSettings& chosen, HeaderNames header_names,
           EngineCalls engine_calls);
 
@@ -106,7 +106,7 @@
   }
   /// Leads the answers around \p endpoint that were under way through it and
   /// have stopped, without further questions.
-  void LeadAround(const std::string& endpoint);
+  void RerouteAround(const std::string& endpoint);
   /// Takes a request; its answer may come much later.
   void Handle(std::shared_ptr<http::Exchange> exchange);
   /// Sets who shares the budget of extra arrivals.
@@ -124,7 +124,7 @@
   const GatewayCounters& Counters() const { return this->counters; }
 
  private:
-  friend class Passage;
+  friend class ProxiedRequest;
 
   /// A request that came before this process knew where to send it.
   struct Early {
@@ -156,9 +156,9 @@
   /// Notes that \p endpoint gives no sign of life.
   void NoteSilent(const std::string& endpoint);
   /// Returns what the streams under way, but for \p except, show of engines.
-  std::vector<endpoints::AnswerSign> SignsBeside(const Passage& except) const;
+  std::vector<endpoints::AnswerSign> SignsBeside(const ProxiedRequest& except) const;
   /// Lets \p passage wait until there is room for its answer.
-  void Enqueue(std::shared_ptr<Passage> passage);
+  void Enqueue(std::shared_ptr<ProxiedRequest> passage);
   void ServeQueue();
 
   void Refuse(http::Exchange& exchange, int status, Duration retry_after,
@@ -167,7 +167,7 @@
 
   http::Loop& loop;
   http::Client& client;
-  Beliefs& beliefs;
+  InstanceState& state;
   eventlog::Logger& logger;
   InstanceSettings settings;
   HeaderNames names;
@@ -179,10 +179,10 @@
   attempts::AlarmRestraint restraint;
   std::function<void()> tell_silent;
   /// All requests under way.
-  std::set<Passage*> passages;
+  std::set<ProxiedRequest*> passages;
   attempts::StartWait start_wait;
   std::vector<Early> early;
-  std::deque<std::shared_ptr<Passage>> queue;
+  std::deque<std::shared_ptr<ProxiedRequest>> queue;
   http::TimerId queue_timer = 0;
 };
 
--- a/include/toucanwharf/instance/instance.h
+++ b/include/toucanwharf/instance/instance.h
@@ -13,7 +13,7 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
 #include "toucanwharf/instance/gateway.h"
 #include "toucanwharf/instance/metrics.h"
@@ -34,22 +34,22 @@
   Instance(InstanceSettings chosen, int log_descriptor)
       : settings(std::move(chosen)),
         logger(log_descriptor, this->settings.name),
-        beliefs(this->settings, NewId()),
+        state(this->settings, NewId()),
         client(this->loop),
         store(this->loop, this->client, this->settings.store_address),
-        gateway(this->loop, this->client, this->beliefs, this->logger,
+        gateway(this->loop, this->client, this->state, this->logger,
                 this->settings, A::Headers(),
-                {A::ReportRequest(), &A::ToReport, &A::RepathRequest,
-                 &A::PathText, &A::ToRepathFault}),
-        peers(this->loop, this->client, this->beliefs, this->logger,
+                {A::ReportRequest(), &A::ToReport, &A::RerouteRequest,
+                 &A::PathText, &A::ToRerouteFault}),
+        peers(this->loop, this->client, this->state, this->logger,
               this->lists, this->settings),
         sync(
-            this->loop, this->store, this->beliefs, this->logger, this->lists,
+            this->loop, this->store, this->state, this->logger, this->lists,
             [this] { this->OnChange(); },
             StoreSyncTimes(this->settings.bounds.configuration),
             gossip::FirstRead(this->settings.processor_share, this->loop.Now(),
                               this->random.Unit())),
-        placement(this->loop, this->client, this->store, this->beliefs,
+        placement(this->loop, this->client, this->store, this->state,
                   this->peers, this->logger, this->settings) {}
 
   /// Listens and serves until it was told to stop. Returns an error if it
@@ -57,7 +57,7 @@
   Result<void> Run() {
     this->logger.Write(eventlog::Level::kNotable, "start",
                        eventlog::Fields()
-                           .Text("process", this->beliefs.instance)
+                           .Text("process", this->state.instance)
                            .Text("domain", this->settings.failure_domain),
                        this->loop.Now());
     BOOST_OUTCOME_TRYV(this->Listen());
@@ -69,7 +69,7 @@
     this->gateway.OnSilentEngine(
         [this] { this->peers.AnnounceSilentEngine(); });
     this->peers.OnSilentEngine([this](const std::string& endpoint) {
-      this->gateway.LeadAround(endpoint);
+      this->gateway.RerouteAround(endpoint);
     });
     this->sync.Start();
     this->placement.Start();
@@ -140,21 +140,21 @@
     const TimePoint now = this->loop.Now();
     http::ResponseHead head;
     head.status = http::kOk;
-    if (A::IsReadyQuestion(target)) {
-      if (!this->beliefs.Ready(now)) head.status = http::kUnavailable;
+    if (A::IsReadinessRequest(target)) {
+      if (!this->state.Ready(now)) head.status = http::kUnavailable;
       exchange.Respond(head, "");
       return;
     }
-    if (const auto question = A::ToEntryQuestion(target)) {
+    if (const auto question = A::ToEntryRequest(target)) {
       const auto addresses = this->Advice(now);
       if (addresses.empty()) head.status = http::kUnavailable;
       head.headers.Add("Content-Type", "application/json");
-      exchange.Respond(head, A::EntryAnswer(addresses, kAdviceLives));
+      exchange.Respond(head, A::EntryResponse(addresses, kAdviceLives));
       return;
     }
     if (target == kMetricsPath) {
       head.headers.Add("Content-Type", "text/plain; version=0.0.4");
-      exchange.Respond(head, MetricsText(this->gateway, this->beliefs,
+      exchange.Respond(head, MetricsText(this->gateway, this->state,
                                          this->logger.Dropped(), now));
       return;
     }
@@ -166,9 +166,9 @@
   /// Returns where callers may connect: the instances that are ready, by the
   /// leader's word or their own.
   std::vector<std::string> Advice(TimePoint now) {
-    std::vector<std::string> addresses = this->beliefs.ReadyPeers(
+    std::vector<std::string> addresses = this->state.ReadyPeers(
         now, this->settings.callers_address, this->settings.datagram_address);
-    if (this->beliefs.Ready(now)) {
+    if (this->state.Ready(now)) {
       addresses.push_back(this->settings.callers_address);
     }
     // Callers read this many; each instance leaves others out.
@@ -180,8 +180,8 @@
   void OnChange() {
     this->peers.AnnounceChange();
     this->TellAtStart();
-    if (!this->beliefs.table) return;
-    const routes::CallerLimits& limits = this->beliefs.table->All().limits;
+    if (!this->state.table) return;
+    const routes::CallerLimits& limits = this->state.table->All().limits;
     this->front->SetLimits({limits.max_header_bytes, limits.max_body_bytes,
                             limits.header_timeout, limits.idle_timeout});
   }
@@ -190,7 +190,7 @@
   void Register() {
     store::Write write;
     write.key = {A::InstanceCollection(), this->settings.name};
-    write.writer = this->beliefs.instance;
+    write.writer = this->state.instance;
     write.value = ToText(Registration{this->settings.control_address,
                                       this->settings.failure_domain,
                                       this->settings.processor_share});
@@ -213,7 +213,7 @@
     constexpr Duration kAgain = std::chrono::milliseconds(700);
     write.if_version = answer.version;
     this->loop.After(earlier_start ? Duration(0) : kAgain, [this, write] {
-      if (this->beliefs.stopping_since) return;
+      if (this->state.stopping_since) return;
       this->store.Write(write, [this, write](const auto& next) {
         this->OnRegistered(write, next);
       });
@@ -235,7 +235,7 @@
             if (one) registered.push_back(std::move(*one));
           }
           this->peers.AddRegistered(registered);
-          this->beliefs.knows_instances = true;
+          this->state.knows_instances = true;
           this->TellAtStart();
           this->ShareBudget(this->loop.Now());
         });
@@ -245,8 +245,8 @@
   /// have just started wait for.
   void TellAtStart() {
     const bool reads_first = gossip::ReadsFirst(this->settings.processor_share);
-    const bool has = this->beliefs.knows_instances && this->beliefs.table &&
-                     this->beliefs.endpoints.Revision() > 0;
+    const bool has = this->state.knows_instances && this->state.table &&
+                     this->state.endpoints.Revision() > 0;
     if (!reads_first || !has || std::exchange(this->told_at_start, true)) {
       return;
     }
@@ -259,23 +259,23 @@
   void ShareBudget(TimePoint now) {
     const Duration window = this->settings.budget.window;
     const bool long_enough = now - this->started >= window;
-    if (!this->beliefs.knows_instances && !long_enough) return;
-    this->gateway.SetSharers({this->beliefs.peers.Instances(now),
-                              this->beliefs.peers.StartedWithin(window, now)});
+    if (!this->state.knows_instances && !long_enough) return;
+    this->gateway.SetSharers({this->state.peers.Instances(now),
+                              this->state.peers.StartedWithin(window, now)});
   }
 
   void Housekeep() {
     const TimePoint now = this->loop.Now();
     this->ShareBudget(now);
     this->NoteBeliefs(now);
-    if (this->beliefs.stopping_since) this->EndIfDone(now);
+    if (this->state.stopping_since) this->EndIfDone(now);
     this->logger.Flush();
   }
 
   /// Logs when keys begin or cease to be admitted, and callers to be sent here.
   void NoteBeliefs(TimePoint now) {
-    const auto age = this->beliefs.freshness.Age(now);
-    const bool keys = this->beliefs.KeysHold(now);
+    const auto age = this->state.freshness.Age(now);
+    const bool keys = this->state.KeysHold(now);
     if (std::exchange(this->keys_held, keys) != keys) {
       eventlog::Fields fields;
       if (age) fields.Millis("configuration_age_ms", *age);
@@ -283,16 +283,16 @@
                          keys ? "keys_confirmed" : "keys_unconfirmed", fields,
                          now);
     }
-    const bool ready = this->beliefs.Ready(now);
+    const bool ready = this->state.Ready(now);
     if (std::exchange(this->was_ready, ready) == ready) return;
     this->logger.Write(eventlog::Level::kNotable, ready ? "ready" : "not_ready",
                        eventlog::Fields(), now);
   }
 
   void Stop() {
-    if (this->beliefs.stopping_since) return;
+    if (this->state.stopping_since) return;
     const TimePoint now = this->loop.Now();
-    this->beliefs.stopping_since = now;
+    this->state.stopping_since = now;
     this->logger.Write(
         eventlog::Level::kNotable, "stopping",
         eventlog::Fields().Count(
@@ -305,7 +305,7 @@
   }
 
   void EndIfDone(TimePoint now) {
-    const Duration since = now - *this->beliefs.stopping_since;
+    const Duration since = now - *this->state.stopping_since;
     const bool idle = this->gateway.UnderWay() == 0 && since > kLeastDrain;
     const bool late = since > this->settings.bounds.grace - kBeforeKill;
     if (!idle && !late) return;
@@ -321,8 +321,8 @@
   http::Loop loop;
   eventlog::Logger logger;
   EndpointListLog lists{this->logger};
-  Beliefs beliefs;
-  Random random{HashText(this->beliefs.instance)};
+  InstanceState state;
+  Random random{HashText(this->state.instance)};
   http::Client client;
   typename A::Store store;
   Gateway gateway;
--- a/include/toucanwharf/instance/beliefs.h
+++ b/include/toucanwharf/instance/instance_state.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_INSTANCE_BELIEFS_H_
-#define TOUCANWHARF_INSTANCE_BELIEFS_H_
+#ifndef TOUCANWHARF_INSTANCE_INSTANCE_STATE_H_
+#define TOUCANWHARF_INSTANCE_INSTANCE_STATE_H_
 
 #include <memory>
 #include <optional>
@@ -18,8 +18,8 @@
 
 /// What one process believes about the world, read by all its parts.
 /// Thread safety: none; for the loop's thread.
-struct Beliefs {
-  explicit Beliefs(const InstanceSettings& settings, std::string instance_id);
+struct InstanceState {
+  explicit InstanceState(const InstanceSettings& settings, std::string instance_id);
 
   /// Changes with each start.
   std::string instance;
@@ -61,4 +61,4 @@
 
 }  // namespace toucanwharf::instance
 
-#endif  // TOUCANWHARF_INSTANCE_BELIEFS_H_
+#endif  // TOUCANWHARF_INSTANCE_INSTANCE_STATE_H_
--- a/include/toucanwharf/instance/metrics.h
+++ b/include/toucanwharf/instance/metrics.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/gateway.h"
 #include "toucanwharf/support/clock.h"
 
@@ -12,7 +12,7 @@
 
 /// Returns the process's metrics in Prometheus' text format.
 /// Thread safety: only on the loop's thread.
-std::string MetricsText(const Gateway& gateway, const Beliefs& beliefs,
+std::string MetricsText(const Gateway& gateway, const InstanceState& state,
                         std::uint64_t log_lines_dropped, TimePoint now);
 
 }  // namespace toucanwharf::instance
--- a/include/toucanwharf/instance/peer_link.h
+++ b/include/toucanwharf/instance/peer_link.h
@@ -18,9 +18,9 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/datagram.h"
 #include "toucanwharf/http/server.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
-#include "toucanwharf/instance/peer_copies.h"
+#include "toucanwharf/instance/snapshot_exchange.h"
 #include "toucanwharf/instance/settings.h"
 #include "toucanwharf/support/random.h"
 
@@ -31,12 +31,12 @@
 /// Thread safety: only on the loop's thread.
 class PeerLink {
  public:
-  using OnConfiguration = PeerCopies::OnConfiguration;
-  using OnEndpoints = PeerCopies::OnEndpoints;
+  using OnConfiguration = SnapshotExchange::OnConfiguration;
+  using OnEndpoints = SnapshotExchange::OnEndpoints;
 
   /// Precondition: all references outlive the link.
   PeerLink(http::Loop& event_loop, http::Client& http_client,
-           Beliefs& shared_beliefs, eventlog::Logger& log,
+           InstanceState& shared_state, eventlog::Logger& log,
            EndpointListLog& list_log, const InstanceSettings& chosen);
 
   /// Binds the datagram socket and begins to send.
@@ -132,13 +132,13 @@
 
   http::Loop& loop;
   http::Client& client;
-  Beliefs& beliefs;
+  InstanceState& state;
   eventlog::Logger& logger;
   EndpointListLog& lists;
   InstanceSettings settings;
   TimePoint started;
   std::unique_ptr<http::DatagramSocket> socket;
-  PeerCopies copies;
+  SnapshotExchange copies;
   std::function<void(const std::string&)> engine_silent;
   std::vector<gossip::EngineFact> facts;
   gossip::Rotation rotation;
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -17,7 +17,7 @@
 #include "toucanwharf/gossip/deputies.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/peer_link.h"
 #include "toucanwharf/placement/layout.h"
 #include "toucanwharf/placement/order_book.h"
@@ -61,21 +61,21 @@
 
   /// Precondition: all references outlive the driver.
   PlacementDriver(http::Loop& event_loop, http::Client& http_client,
-                  Store& object_store, Beliefs& shared_beliefs,
+                  Store& object_store, InstanceState& shared_state,
                   PeerLink& peer_link, eventlog::Logger& log,
                   const InstanceSettings& chosen)
       : loop(event_loop),
         client(http_client),
         store(object_store),
-        beliefs(shared_beliefs),
+        state(shared_state),
         peers(peer_link),
         logger(log),
         processor_share(chosen.processor_share),
         callers_address(chosen.callers_address),
         datagram_address(chosen.datagram_address),
         candidacy(chosen.processor_share, event_loop.Now()),
-        lease(LeaseTerms(shared_beliefs.instance),
-              HashText(shared_beliefs.instance)) {
+        lease(LeaseTerms(shared_state.instance),
+              HashText(shared_state.instance)) {
     this->layout_settings.standby_copies = chosen.mechanisms.standby_copies;
   }
 
@@ -86,7 +86,7 @@
   /// Gives the lease back, so that another instance goes on at once.
   void Release() {
     this->lease.Release();
-    this->beliefs.leads = false;
+    this->state.leads = false;
     this->PollLease();
   }
 
@@ -114,8 +114,8 @@
     this->PollLease();
     const TimePoint now = this->loop.Now();
     this->NoteLeadership(this->lease.MayAct(now), now);
-    if (!this->beliefs.table) return;
-    if (this->beliefs.leads) {
+    if (!this->state.table) return;
+    if (this->state.leads) {
       this->Plan(now);
       this->AskReports(now);
       this->GiveOrders(now);
@@ -133,8 +133,8 @@
   /// went to full engines for the five seconds that the old lease lasts.
   void ActForLeader(TimePoint now) {
     const bool acts =
-        this->beliefs.deputy && this->beliefs.peers.Large(now) &&
-        gossip::ActsForLeader(this->beliefs.peers, this->beliefs.deputies,
+        this->state.deputy && this->state.peers.Large(now) &&
+        gossip::ActsForLeader(this->state.peers, this->state.deputies,
                               this->datagram_address, now);
     if (!acts) {
       if (this->engines.empty()) return;
@@ -142,9 +142,9 @@
       this->peers.SetFacts({});
       return;
     }
-    for (const routes::Service& service : this->beliefs.table->All().services) {
+    for (const routes::Service& service : this->state.table->All().services) {
       if (!service.engine || service.engine->layers == 0) continue;
-      this->beliefs.endpoints.ForEachReady(
+      this->state.endpoints.ForEachReady(
           service.name, [this](const endpoints::Endpoint& endpoint) {
             this->KnowLifeOf(endpoint);
           });
@@ -154,7 +154,7 @@
   }
 
   void NoteLeadership(bool leads, TimePoint now) {
-    if (std::exchange(this->beliefs.leads, leads) == leads) return;
+    if (std::exchange(this->state.leads, leads) == leads) return;
     this->logger.Write(
         eventlog::Level::kNotable, leads ? "lease_gained" : "lease_lost",
         eventlog::Fields().Count(
@@ -169,16 +169,16 @@
 
   /// Another holder that is heard of makes looking at the lease needless.
   bool AnotherLeads(TimePoint now) const {
-    return !this->beliefs.peers.Leader(now).empty();
+    return !this->state.peers.Leader(now).empty();
   }
 
   /// The deputies, which have heard what the leader heard, go first, and the
   /// others seconds later.
   std::size_t Ahead(TimePoint now) const {
     constexpr std::size_t kBehindDeputies = 24;
-    const std::size_t ahead = this->beliefs.peers.Ahead(
+    const std::size_t ahead = this->state.peers.Ahead(
         this->processor_share, this->callers_address, now);
-    const bool deputies_lead = this->beliefs.roster.Holds(now);
+    const bool deputies_lead = this->state.roster.Holds(now);
     return deputies_lead ? ahead + kBehindDeputies : ahead;
   }
 
@@ -187,11 +187,11 @@
     // A deputy looks at the lease all the time: a challenger has to see it
     // unchanged for a whole term, and that time is over then.
     const bool turn =
-        this->beliefs.deputy ||
+        this->state.deputy ||
         this->candidacy.MayTry(!this->AnotherLeads(now), this->Ahead(now), now);
     // A lease that is given back must be, whoever else leads by now.
-    const bool stopping = this->beliefs.stopping_since.has_value();
-    if (!this->beliefs.leads && !turn && !stopping) return;
+    const bool stopping = this->state.stopping_since.has_value();
+    if (!this->state.leads && !turn && !stopping) return;
     if (now < this->lease_pause_until) return;
     auto call = this->lease.Poll(now);
     if (!call) return;
@@ -219,8 +219,8 @@
   void NoteLeaseAnswer(bool answered) {
     if (answered) return;
     const TimePoint now = this->loop.Now();
-    const gossip::PeerTable& known = this->beliefs.peers;
-    const bool one_of_many = known.Large(now) && !this->beliefs.deputy;
+    const gossip::PeerTable& known = this->state.peers;
+    const bool one_of_many = known.Large(now) && !this->state.deputy;
     const Duration pause =
         one_of_many ? this->times.lease_turn *
                           static_cast<std::int64_t>(known.Instances(now))
@@ -229,7 +229,7 @@
   }
 
   void Plan(TimePoint now) {
-    for (const routes::Service& service : this->beliefs.table->All().services) {
+    for (const routes::Service& service : this->state.table->All().services) {
       if (!service.engine || service.engine->layers == 0) continue;
       this->PlanService(service, now);
     }
@@ -237,7 +237,7 @@
 
   void PlanService(const routes::Service& service, TimePoint now) {
     std::vector<placement::Accelerator> fleet;
-    this->beliefs.endpoints.ForEachReady(
+    this->state.endpoints.ForEachReady(
         service.name, [&](const endpoints::Endpoint& endpoint) {
           if (this->Lost(endpoint)) return;
           placement::Accelerator one{endpoint.id, endpoint.failure_domain,
@@ -307,14 +307,14 @@
   };
 
   void AskReports(TimePoint now) {
-    const Duration period = this->beliefs.peers.Large(now)
+    const Duration period = this->state.peers.Large(now)
                                 ? this->times.watch_period_large
                                 : this->times.watch_period;
     for (auto& [id, known] : this->engines) {
-      const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
+      const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr || known.asking) continue;
       const bool due = this->book.NeedsReport(id) || known.failed_reports > 0 ||
-                       this->beliefs.loads.Suspected(id, now) ||
+                       this->state.loads.Suspected(id, now) ||
                        now - known.asked >= period;
       if (due) this->AskReport(*endpoint, now);
     }
@@ -346,7 +346,7 @@
       return;
     }
     known.failed_reports = 0;
-    this->beliefs.loads.Answered(id, this->loop.Now());
+    this->state.loads.Answered(id, this->loop.Now());
     const auto report = A::ToReport(body);
     if (!report) {
       this->logger.Write(eventlog::Level::kNotable, "report_unreadable",
@@ -361,8 +361,8 @@
     // In a small fleet every answer is known sooner than a report tells of it,
     // and a report of a moment ago would hold back room that is free by now.
     const double held =
-        this->beliefs.peers.Large(now) ? report->engine.token_layers : 0;
-    this->beliefs.loads.SetFact(
+        this->state.peers.Large(now) ? report->engine.token_layers : 0;
+    this->state.loads.SetFact(
         {id, known.born, report->engine.layers, report->engine.slowdown, held},
         now + this->times.facts_for);
   }
@@ -373,16 +373,16 @@
   void SuspectSilent(const std::string& id, const Known& known) {
     constexpr int kSure = 2;
     const TimePoint now = this->loop.Now();
-    const bool doubted = this->beliefs.loads.Suspected(id, now);
+    const bool doubted = this->state.loads.Suspected(id, now);
     if (known.failed_reports < kSure && !doubted) return;
-    const bool news = this->beliefs.loads.FoundSilent(
+    const bool news = this->state.loads.FoundSilent(
         id, now + this->times.unanswered_pause, now);
     if (news) this->peers.AnnounceSilentEngine();
   }
 
   void GiveOrders(TimePoint now) {
     for (const auto& [id, layers] : this->book.Wanted()) {
-      const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
+      const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr) continue;
       // Asked right before the send: a holder that was suspended must not act
       // on a lease that another has by now.
@@ -430,10 +430,10 @@
   void ShareFacts() {
     std::vector<gossip::EngineFact> facts;
     for (const auto& [id, known] : this->engines) {
-      const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
+      const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr) continue;
       const gossip::EngineFact* fact =
-          this->beliefs.loads.Fact(*endpoint, this->loop.Now());
+          this->state.loads.Fact(*endpoint, this->loop.Now());
       if (fact != nullptr) facts.push_back(*fact);
     }
     this->peers.SetFacts(std::move(facts));
@@ -445,7 +445,7 @@
   http::Loop& loop;
   http::Client& client;
   Store& store;
-  Beliefs& beliefs;
+  InstanceState& state;
   PeerLink& peers;
   eventlog::Logger& logger;
   PlacementTimes times;
--- a/include/toucanwharf/instance/peer_copies.h
+++ b/include/toucanwharf/instance/snapshot_exchange.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_INSTANCE_PEER_COPIES_H_
-#define TOUCANWHARF_INSTANCE_PEER_COPIES_H_
+#ifndef TOUCANWHARF_INSTANCE_SNAPSHOT_EXCHANGE_H_
+#define TOUCANWHARF_INSTANCE_SNAPSHOT_EXCHANGE_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 #include "toucanwharf/gossip/beacon.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
 #include "toucanwharf/support/random.h"
 
@@ -31,7 +31,7 @@
 /// instance hands out a few at a time and turns others away at once; and these
 /// find one that has a copy by now, in their own failure domain if they can.
 /// Thread safety: only on the loop's thread.
-class PeerCopies {
+class SnapshotExchange {
  public:
   /// Called with the store's revision and the text of a newer configuration.
   using OnConfiguration =
@@ -40,8 +40,8 @@
   using OnEndpoints = std::function<void()>;
 
   /// Precondition: all references outlive the object.
-  PeerCopies(http::Loop& event_loop, http::Client& http_client,
-             Beliefs& shared_beliefs, eventlog::Logger& log,
+  SnapshotExchange(http::Loop& event_loop, http::Client& http_client,
+             InstanceState& shared_state, eventlog::Logger& log,
              EndpointListLog& list_log, std::string own_failure_domain);
 
   /// Sets whom to tell. Precondition: called before all others.
@@ -103,7 +103,7 @@
 
   http::Loop& loop;
   http::Client& client;
-  Beliefs& beliefs;
+  InstanceState& state;
   eventlog::Logger& logger;
   EndpointListLog& lists;
   std::string failure_domain;
@@ -127,4 +127,4 @@
 
 }  // namespace toucanwharf::instance
 
-#endif  // TOUCANWHARF_INSTANCE_PEER_COPIES_H_
+#endif  // TOUCANWHARF_INSTANCE_SNAPSHOT_EXCHANGE_H_
--- a/include/toucanwharf/instance/store_sync.h
+++ b/include/toucanwharf/instance/store_sync.h
@@ -14,7 +14,7 @@
 #include "toucanwharf/gossip/first_read.h"
 #include "toucanwharf/http/loop.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
 
 namespace toucanwharf::instance {
@@ -77,12 +77,12 @@
 
   /// Precondition: all references outlive the object.
   StoreSync(http::Loop& event_loop, Store& object_store,
-            Beliefs& shared_beliefs, eventlog::Logger& log,
+            InstanceState& shared_state, eventlog::Logger& log,
             EndpointListLog& list_log, std::function<void()> on_change,
             const StoreSyncTimes& chosen, const gossip::FirstRead& at_start)
       : loop(event_loop),
         store(object_store),
-        beliefs(shared_beliefs),
+        state(shared_state),
         logger(log),
         lists(list_log),
         changed(std::move(on_change)),
@@ -98,7 +98,7 @@
   /// Puts \p text of the store's \p revision into force unless what is in
   /// force is as new. A text that is no configuration is dropped.
   void Adopt(std::uint64_t revision, const std::string& text) {
-    if (revision <= this->beliefs.configuration_revision) return;
+    if (revision <= this->state.configuration_revision) return;
     const TimePoint now = this->loop.Now();
     eventlog::Fields fields;
     fields.Count("revision", static_cast<std::int64_t>(revision));
@@ -109,10 +109,10 @@
       return;
     }
     fields.Count("version", static_cast<std::int64_t>(read->version));
-    this->beliefs.table =
+    this->state.table =
         std::make_shared<const routes::RouteTable>(std::move(*read));
-    this->beliefs.configuration_revision = revision;
-    this->beliefs.configuration_text = text;
+    this->state.configuration_revision = revision;
+    this->state.configuration_text = text;
     this->logger.Write(eventlog::Level::kNotable, "configuration_in_force",
                        fields, now);
     this->changed();
@@ -121,9 +121,9 @@
  private:
   void Look() {
     const TimePoint now = this->loop.Now();
-    const bool large = this->beliefs.peers.Large(now);
+    const bool large = this->state.peers.Large(now);
     const Duration period = this->Period(large);
-    const auto age = this->beliefs.freshness.Age(now);
+    const auto age = this->state.freshness.Age(now);
     const bool may_begin = this->MayReadFirst(now);
     if (!this->reading_configuration && (age || may_begin) &&
         this->Due(age, period, this->configuration_asked, now)) {
@@ -131,7 +131,7 @@
       this->ReadConfiguration();
     }
     std::optional<Duration> list_age;
-    if (const auto confirmed = this->beliefs.endpoints.ConfirmedAt()) {
+    if (const auto confirmed = this->state.endpoints.ConfirmedAt()) {
       list_age = now - *confirmed;
     }
     // While the store is away one question at a time looks for its return.
@@ -146,16 +146,16 @@
   /// Returns whether to read what was never proved here.
   bool MayReadFirst(TimePoint now) const {
     std::optional<std::size_t> instances;
-    if (this->beliefs.knows_instances) {
-      instances = this->beliefs.peers.Instances(now);
+    if (this->state.knows_instances) {
+      instances = this->state.peers.Instances(now);
     }
     return this->first_read.MayRead(instances, now);
   }
 
   /// Returns how old the newest proof may be.
   Duration Period(bool large) const {
-    if (this->beliefs.leads) return this->times.ReaderPeriod(large);
-    const bool deputy = large && this->beliefs.deputy;
+    if (this->state.leads) return this->times.ReaderPeriod(large);
+    const bool deputy = large && this->state.deputy;
     return deputy ? this->times.deputy_proof : this->times.oldest_proof;
   }
 
@@ -170,7 +170,7 @@
   /// Writes that this instance has to read for itself though another reads.
   void LogOwnRead(std::string_view what, const std::optional<Duration>& age,
                   TimePoint now) {
-    if (this->beliefs.leads) return;
+    if (this->state.leads) return;
     eventlog::Fields fields;
     fields.Text("what", what);
     if (age) fields.Millis("proof_age_ms", *age);
@@ -185,20 +185,20 @@
     constexpr int kMostDoublings = 2;
     const Duration own = this->times.away_period *
                          (1 << std::min(this->failures, kMostDoublings));
-    if (!this->beliefs.peers.Large(now) || this->beliefs.leads) return own;
+    if (!this->state.peers.Large(now) || this->state.leads) return own;
     // Where the leader or a deputy has read lately, the store is up, and only
     // this instance's reads fail: it must go on, or it would use endpoints that
     // have left (I5).
     const auto hubs =
-        this->beliefs.peers.HubsProofAge(this->beliefs.deputies, now);
+        this->state.peers.HubsProofAge(this->state.deputies, now);
     const bool outage = hubs && *hubs > this->times.reader_period_large * 3;
     // A process that has no configuration yet uses no endpoints. Where all have
     // just started and the store can't serve them at once, hundreds that ask on
     // would keep it from serving any; whoever gets an answer tells the others.
-    const bool serves = this->beliefs.configuration_revision > 0;
+    const bool serves = this->state.configuration_revision > 0;
     if (serves && !outage) return own;
     return std::max(
-        own, this->times.FollowerBackoff(this->beliefs.peers.Instances(now)));
+        own, this->times.FollowerBackoff(this->state.peers.Instances(now)));
   }
 
   void ReadConfiguration() {
@@ -217,10 +217,10 @@
     this->no_configuration = answer.status == store::ReadStatus::kMissing;
     if (answer.status != store::ReadStatus::kFound) return;
     // An answer that was overtaken by a newer one proves nothing of now.
-    if (answer.object.version < this->beliefs.configuration_revision) return;
+    if (answer.object.version < this->state.configuration_revision) return;
     this->Adopt(answer.object.version, answer.object.value);
-    if (this->beliefs.configuration_revision == answer.object.version) {
-      this->beliefs.freshness.Confirm(begun);
+    if (this->state.configuration_revision == answer.object.version) {
+      this->state.freshness.Confirm(begun);
     }
   }
 
@@ -249,15 +249,15 @@
       }
     }
     const TimePoint now = this->loop.Now();
-    const bool new_list = this->beliefs.endpoints.Replace(
+    const bool new_list = this->state.endpoints.Replace(
         std::move(read), list->revision, begun, now);
-    this->lists.OnList(this->beliefs.endpoints, ListCause::kStore, new_list,
+    this->lists.OnList(this->state.endpoints, ListCause::kStore, new_list,
                        unreadable, now);
     if (new_list) this->changed();
   }
 
   void NoteStore(bool answered) {
-    if (!answered) this->beliefs.endpoints.OnStoreAway(this->loop.Now());
+    if (!answered) this->state.endpoints.OnStoreAway(this->loop.Now());
     this->failures = answered ? 0 : this->failures + 1;
     if (std::exchange(this->store_answers, answered) == answered) return;
     this->logger.Write(eventlog::Level::kNotable,
@@ -267,7 +267,7 @@
 
   http::Loop& loop;
   Store& store;
-  Beliefs& beliefs;
+  InstanceState& state;
   eventlog::Logger& logger;
   EndpointListLog& lists;
   std::function<void()> changed;
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "absl/strings/str_format.h"
-#include "passage.h"
+#include "proxied_request.h"
 
 namespace toucanwharf::instance {
 namespace {
@@ -53,31 +53,31 @@
 }  // namespace
 
 Gateway::Gateway(http::Loop& event_loop, http::Client& http_client,
-                 Beliefs& shared_beliefs, eventlog::Logger& log,
+                 InstanceState& shared_state, eventlog::Logger& log,
                  const InstanceSettings& chosen, HeaderNames header_names,
                  EngineCalls engine_calls)
     : loop(event_loop),
       client(http_client),
-      beliefs(shared_beliefs),
+      state(shared_state),
       logger(log),
       settings(chosen),
       names(std::move(header_names)),
       budget(chosen.budget, event_loop.Now()),
-      random(HashText(shared_beliefs.instance)),
+      random(HashText(shared_state.instance)),
       calls(std::move(engine_calls)),
       probe(event_loop, http_client, this->calls.report, this->calls.to_report),
       start_wait(event_loop.Now()) {}
 
 bool Gateway::TooLateToTake(TimePoint now) const {
-  return this->beliefs.stopping_since &&
-         now - *this->beliefs.stopping_since > kTakeAfterStop;
+  return this->state.stopping_since &&
+         now - *this->state.stopping_since > kTakeAfterStop;
 }
 
 void Gateway::Handle(std::shared_ptr<http::Exchange> exchange) {
   ++this->counters.received;
   const TimePoint now = this->loop.Now();
   const std::size_t bytes = exchange->Received().body.size() + kHeadBytes;
-  if (!this->settings.mechanisms.start_wait || this->beliefs.KnowEnough(now) ||
+  if (!this->settings.mechanisms.start_wait || this->state.KnowEnough(now) ||
       !this->start_wait.Enter(bytes, now)) {
     this->Take(std::move(exchange), now);
     return;
@@ -89,14 +89,14 @@
 
 void Gateway::TakeEarly() {
   const TimePoint now = this->loop.Now();
-  if (!this->beliefs.KnowEnough(now) && !this->start_wait.Over(now)) {
+  if (!this->state.KnowEnough(now) && !this->start_wait.Over(now)) {
     this->loop.After(kEarlyLook, [this] { this->TakeEarly(); });
     return;
   }
   for (Early& one : std::exchange(this->early, {})) {
     this->start_wait.Leave(one.bytes);
     if (one.exchange->Gone()) {
-      ++this->counters.left_by_caller;
+      ++this->counters.caller_disconnected;
       continue;
     }
     this->Take(std::move(one.exchange), one.arrived);
@@ -107,7 +107,7 @@
                    TimePoint arrived) {
   const TimePoint now = this->loop.Now();
   const http::Request& request = exchange->Received();
-  const auto table = this->beliefs.table;
+  const auto table = this->state.table;
   if (!table) {
     this->Refuse(*exchange, http::kUnavailable, kRetryForBeliefs,
                  "no_configuration");
@@ -128,7 +128,7 @@
   }
   const routes::Route& route = *admitted.route;
   if (!route.open && !table->All().customers.empty()) {
-    if (!this->beliefs.KeysHold(now)) {
+    if (!this->state.KeysHold(now)) {
       this->Refuse(*exchange, http::kUnavailable, kRetryForBeliefs,
                    "keys_unconfirmed");
       return;
@@ -151,17 +151,17 @@
   admitted.deadline =
       arrived +
       DeadlineOf(request.headers.Get(this->names.deadline), route.timeout);
-  std::make_shared<Passage>(*this, std::move(exchange), std::move(admitted))
+  std::make_shared<ProxiedRequest>(*this, std::move(exchange), std::move(admitted))
       ->Start();
 }
 
 std::size_t Gateway::Askers() const {
-  return this->beliefs.peers.Instances(this->loop.Now());
+  return this->state.peers.Instances(this->loop.Now());
 }
 
 bool Gateway::AsksWholePaths(TimePoint now) const {
   return this->settings.mechanisms.engine_questions &&
-         !this->beliefs.peers.Large(now);
+         !this->state.peers.Large(now);
 }
 
 void Gateway::Doubt(const std::vector<pipeline::Stage>& engines,
@@ -175,7 +175,7 @@
   this->probe.Ask(stage.address, since, this->Askers(),
                   [this, id = stage.endpoint](const ProbeAnswer& answer) {
                     if (answer.alive) {
-                      this->beliefs.loads.Answered(id, this->loop.Now());
+                      this->state.loads.Answered(id, this->loop.Now());
                     } else {
                       this->NoteSilent(id);
                     }
@@ -185,32 +185,32 @@
 void Gateway::NoteSilent(const std::string& endpoint) {
   const TimePoint now = this->loop.Now();
   const bool news =
-      this->beliefs.loads.FoundSilent(endpoint, now + kSilentFor, now);
+      this->state.loads.FoundSilent(endpoint, now + kSilentFor, now);
   if (!news) return;
   this->logger.Write(Level::kNotable, "engine_silent",
                      Fields().Text("endpoint", endpoint), now);
   if (this->tell_silent) this->tell_silent();
-  this->LeadAround(endpoint);
+  this->RerouteAround(endpoint);
 }
 
-void Gateway::LeadAround(const std::string& endpoint) {
+void Gateway::RerouteAround(const std::string& endpoint) {
   // Leading one around may end it, and others with it.
-  std::vector<std::shared_ptr<Passage>> all;
-  for (Passage* one : this->passages) all.push_back(one->shared_from_this());
+  std::vector<std::shared_ptr<ProxiedRequest>> all;
+  for (ProxiedRequest* one : this->passages) all.push_back(one->shared_from_this());
   for (const auto& one : all) one->OnEngineSilent(endpoint);
 }
 
 std::vector<endpoints::AnswerSign> Gateway::SignsBeside(
-    const Passage& except) const {
+    const ProxiedRequest& except) const {
   std::vector<endpoints::AnswerSign> signs;
-  for (const Passage* one : this->passages) {
+  for (const ProxiedRequest* one : this->passages) {
     if (one == &except) continue;
     if (auto sign = one->Sign()) signs.push_back(std::move(*sign));
   }
   return signs;
 }
 
-void Gateway::Enqueue(std::shared_ptr<Passage> passage) {
+void Gateway::Enqueue(std::shared_ptr<ProxiedRequest> passage) {
   ++this->counters.queued;
   this->queue.push_back(std::move(passage));
   if (this->queue_timer != 0) return;
@@ -253,9 +253,9 @@
       .Text("why", reason)
       .Count("status", status)
       .Count("configuration",
-             static_cast<std::int64_t>(this->beliefs.configuration_revision));
+             static_cast<std::int64_t>(this->state.configuration_revision));
   const TimePoint now = this->loop.Now();
-  if (const auto age = this->beliefs.freshness.Age(now)) {
+  if (const auto age = this->state.freshness.Age(now)) {
     fields.Millis("configuration_age_ms", *age);
   }
   this->logger.Write(Level::kNotable, "refused", fields, now);
--- a/lib/instance/beliefs.cc
+++ b/lib/instance/instance_state.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/instance/beliefs.h"
+#include "toucanwharf/instance/instance_state.h"
 
 #include <utility>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Beliefs::Beliefs(const InstanceSettings& settings, std::string instance_id)
+InstanceState::InstanceState(const InstanceSettings& settings, std::string instance_id)
     : instance(std::move(instance_id)),
       freshness(settings.bounds.revocation, kRevocationMargin),
       endpoints(kOutageGrace,
@@ -28,15 +28,15 @@
       peers(this->instance),
       strict_revocation(settings.bounds.strict_revocation) {}
 
-bool Beliefs::KeysHold(TimePoint now) const {
+bool InstanceState::KeysHold(TimePoint now) const {
   return !this->strict_revocation || this->freshness.Holds(now);
 }
 
-bool Beliefs::KnowEnough(TimePoint now) const {
+bool InstanceState::KnowEnough(TimePoint now) const {
   return this->table && this->endpoints.Revision() > 0 && this->KeysHold(now);
 }
 
-std::vector<std::string> Beliefs::ReadyPeers(
+std::vector<std::string> InstanceState::ReadyPeers(
     TimePoint now, const std::string& callers,
     const std::string& datagrams) const {
   std::vector<std::string> addresses;
@@ -62,7 +62,7 @@
   return addresses;
 }
 
-bool Beliefs::Ready(TimePoint now) const {
+bool InstanceState::Ready(TimePoint now) const {
   return !this->stopping_since && this->KnowEnough(now);
 }
 
--- a/lib/instance/metrics.cc
+++ b/lib/instance/metrics.cc
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-std::string MetricsText(const Gateway& gateway, const Beliefs& beliefs,
+std::string MetricsText(const Gateway& gateway, const InstanceState& state,
                         std::uint64_t log_lines_dropped, TimePoint now) {
   const GatewayCounters& counters = gateway.Counters();
   Writer writer;
@@ -71,18 +71,18 @@
   writer.Counter("refused", "requests refused as not run", counters.refused);
   writer.Counter("failed", "requests that ended in a failure", counters.failed);
   writer.Counter("broken_off", "answers broken off in the middle",
-                 counters.broken_off);
+                 counters.aborted);
   writer.Counter("timed_out", "requests whose time was over",
                  counters.timed_out);
   writer.Counter("left_by_caller", "requests whose caller left",
-                 counters.left_by_caller);
+                 counters.caller_disconnected);
   writer.Counter("tried_again", "requests sent to another endpoint",
-                 counters.tried_again);
+                 counters.retried);
   writer.Counter("resumed", "answers that went on at another engine",
                  counters.resumed);
   writer.Counter("stalls", "answers that an engine of the path held up",
                  counters.stalls);
-  writer.Counter("repathed", "answers led around an engine", counters.repathed);
+  writer.Counter("repathed", "answers led around an engine", counters.rerouted);
   writer.Counter("queued", "requests that waited for room", counters.queued);
   writer.Counter("extra_arrivals",
                  "arrivals at endpoints beyond the first of a request",
@@ -102,21 +102,21 @@
                static_cast<double>(gateway.Sharers().instances));
   writer.Gauge("configuration_revision",
                "store's revision of the configuration in force",
-               static_cast<double>(beliefs.configuration_revision));
+               static_cast<double>(state.configuration_revision));
   writer.Gauge("configuration_age_seconds",
                "age of the proof that it is current, -1 for none",
-               SecondsOf(beliefs.freshness.Age(now)));
+               SecondsOf(state.freshness.Age(now)));
   writer.Gauge("endpoints", "endpoints registered",
-               static_cast<double>(beliefs.endpoints.All().size()));
+               static_cast<double>(state.endpoints.All().size()));
   writer.Gauge("endpoints_kept",
                "endpoints in use though the newest list lacks them",
-               static_cast<double>(beliefs.endpoints.Kept()));
+               static_cast<double>(state.endpoints.Kept()));
   writer.Gauge("peers", "other instances heard of lately",
-               static_cast<double>(beliefs.peers.AllLive(now).size()));
+               static_cast<double>(state.peers.AllLive(now).size()));
   writer.Gauge("ready", "whether callers are sent here",
-               beliefs.Ready(now) ? 1 : 0);
+               state.Ready(now) ? 1 : 0);
   writer.Gauge("leads", "whether this instance places layers",
-               beliefs.leads ? 1 : 0);
+               state.leads ? 1 : 0);
   writer.Counter("log_lines_dropped", "log lines dropped", log_lines_dropped);
   return writer.Take();
 }
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -42,18 +42,18 @@
 }  // namespace
 
 PeerLink::PeerLink(http::Loop& event_loop, http::Client& http_client,
-                   Beliefs& shared_beliefs, eventlog::Logger& log,
+                   InstanceState& shared_state, eventlog::Logger& log,
                    EndpointListLog& list_log, const InstanceSettings& chosen)
     : loop(event_loop),
       client(http_client),
-      beliefs(shared_beliefs),
+      state(shared_state),
       logger(log),
       lists(list_log),
       settings(chosen),
       started(event_loop.Now()),
-      copies(event_loop, http_client, shared_beliefs, log, list_log,
+      copies(event_loop, http_client, shared_state, log, list_log,
              chosen.failure_domain),
-      random(HashText(shared_beliefs.instance)) {}
+      random(HashText(shared_state.instance)) {}
 
 Result<void> PeerLink::Start(OnConfiguration on_configuration,
                              OnEndpoints on_endpoints) {
@@ -80,7 +80,7 @@
 void PeerLink::AddInstance(const std::string& control_address) {
   const std::string address = this->DatagramAddressOf(control_address);
   if (address == this->settings.datagram_address) return;
-  this->beliefs.peers.AddAddress(address, this->loop.Now());
+  this->state.peers.AddAddress(address, this->loop.Now());
 }
 
 void PeerLink::AddRegistered(
@@ -90,42 +90,42 @@
     this->AddInstance(one.address);
     one.address = this->DatagramAddressOf(one.address);
   }
-  const bool wanted = this->beliefs.peers.Large(this->loop.Now()) &&
-                      this->beliefs.deputies.empty();
+  const bool wanted = this->state.peers.Large(this->loop.Now()) &&
+                      this->state.deputies.empty();
   if (!wanted) return;
   this->SetDeputies(gossip::ChooseDeputies(std::move(candidates), ""));
 }
 
 void PeerLink::SetDeputies(std::vector<std::string> addresses) {
-  this->beliefs.deputies = std::move(addresses);
-  const auto& all = this->beliefs.deputies;
-  this->beliefs.deputy =
+  this->state.deputies = std::move(addresses);
+  const auto& all = this->state.deputies;
+  this->state.deputy =
       std::find(all.begin(), all.end(), this->settings.datagram_address) !=
       all.end();
 }
 
 void PeerLink::Tick() {
   const TimePoint now = this->loop.Now();
-  const bool large = this->beliefs.peers.Large(now);
-  const bool leads = this->beliefs.leads;
-  const bool hub = leads || this->beliefs.deputy;
+  const bool large = this->state.peers.Large(now);
+  const bool leads = this->state.leads;
+  const bool hub = leads || this->state.deputy;
   if (!hub) this->hub_since.reset();
   if (hub && !this->hub_since) this->hub_since = now;
-  const bool led = leads || !large || this->beliefs.roster.Holds(now) ||
-                   !this->beliefs.peers.Leader(now).empty();
-  this->beliefs.loads.AssumeAlike(led ? 0
-                                      : this->beliefs.peers.Instances(now) - 1);
+  const bool led = leads || !large || this->state.roster.Holds(now) ||
+                   !this->state.peers.Leader(now).empty();
+  this->state.loads.AssumeAlike(led ? 0
+                                      : this->state.peers.Instances(now) - 1);
   const std::size_t near =
-      this->beliefs.peers.AddressesNear(this->settings.failure_domain, now)
+      this->state.peers.AddressesNear(this->settings.failure_domain, now)
           .size();
-  this->beliefs.peers.SetSilentAfter(
+  this->state.peers.SetSilentAfter(
       this->HearsAll(now) ? gossip::RotationSettings().least_silence
                           : this->rotation.SilentAfter(near));
   this->AdoptProofs(now);
   if (large && hub) this->SumLoads(now);
   auto told = this->rotation.Next(this->MakeAudience(now));
   if (this->rotation.WentToEveryone()) {
-    this->about = this->ranges.Next(this->beliefs.endpoints.All().size());
+    this->about = this->ranges.Next(this->state.endpoints.All().size());
   }
   this->Tell(std::move(told), 0);
   this->LogPeers(now);
@@ -133,20 +133,20 @@
 }
 
 gossip::Audience PeerLink::MakeAudience(TimePoint now) const {
-  const gossip::PeerTable& peers = this->beliefs.peers;
+  const gossip::PeerTable& peers = this->state.peers;
   gossip::Audience audience;
   audience.near = peers.AddressesNear(this->settings.failure_domain, now);
   audience.far = peers.AddressesFar(this->settings.failure_domain, now);
   audience.leader = peers.Leader(now);
   audience.deputies = this->OtherDeputies(audience.leader);
-  audience.is_hub = this->beliefs.leads || this->beliefs.deputy;
+  audience.is_hub = this->state.leads || this->state.deputy;
   return audience;
 }
 
 std::vector<std::string> PeerLink::OtherDeputies(
     const std::string& leader) const {
   std::vector<std::string> others;
-  for (const std::string& one : this->beliefs.deputies) {
+  for (const std::string& one : this->state.deputies) {
     const bool other = one != this->settings.datagram_address && one != leader;
     if (other) others.push_back(one);
   }
@@ -155,9 +155,9 @@
 
 /// Two deputies tell the same, and hear the same.
 bool PeerLink::SpeaksForFleet(TimePoint now) const {
-  if (this->beliefs.leads) return true;
-  return this->beliefs.deputy && this->HearsAll(now) &&
-         this->beliefs.peers.Leader(now).empty();
+  if (this->state.leads) return true;
+  return this->state.deputy && this->HearsAll(now) &&
+         this->state.peers.Leader(now).empty();
 }
 
 void PeerLink::Tell(std::vector<std::string> addresses, std::size_t begin) {
@@ -184,26 +184,26 @@
   // Many things may change in one moment; one message tells of them all.
   if (this->announcing) return;
   this->announcing = true;
-  const bool large = this->beliefs.peers.Large(this->loop.Now());
-  const bool at_once = !large || this->beliefs.stopping_since;
+  const bool large = this->state.peers.Large(this->loop.Now());
+  const bool at_once = !large || this->state.stopping_since;
   this->loop.After(at_once ? Duration(0) : kGatherNews, [this] {
     this->announcing = false;
     const TimePoint now = this->loop.Now();
     this->SendTo(
-        this->beliefs.peers.Addresses(now),
-        this->beliefs.peers.Large(now) ? Content::kOwn : Content::kFleet);
+        this->state.peers.Addresses(now),
+        this->state.peers.Large(now) ? Content::kOwn : Content::kFleet);
   });
 }
 
 void PeerLink::AnnounceChange() {
   const bool by_leader =
-      this->beliefs.peers.Large(this->loop.Now()) && !this->beliefs.leads;
+      this->state.peers.Large(this->loop.Now()) && !this->state.leads;
   if (!by_leader) this->Announce();
 }
 
 void PeerLink::AnnounceToDomain() {
   const TimePoint now = this->loop.Now();
-  const gossip::PeerTable& peers = this->beliefs.peers;
+  const gossip::PeerTable& peers = this->state.peers;
   if (!peers.Large(now)) return;
   this->SendTo(peers.AddressesNear(this->settings.failure_domain, now),
                Content::kOwn);
@@ -211,9 +211,9 @@
 
 void PeerLink::AnnounceSilentEngine() {
   const TimePoint now = this->loop.Now();
-  const std::string leader = this->beliefs.peers.Leader(now);
+  const std::string leader = this->state.peers.Leader(now);
   const bool by_leader =
-      this->beliefs.peers.Large(now) && !this->beliefs.leads && !leader.empty();
+      this->state.peers.Large(now) && !this->state.leads && !leader.empty();
   if (by_leader) {
     this->SendTo({leader}, Content::kOwn);
   } else {
@@ -223,24 +223,24 @@
 
 gossip::Beacon PeerLink::MakeBeacon(TimePoint now) const {
   gossip::Beacon beacon;
-  beacon.instance = this->beliefs.instance;
+  beacon.instance = this->state.instance;
   beacon.uptime = now - this->started;
   beacon.failure_domain = this->settings.failure_domain;
   beacon.callers_address = this->settings.callers_address;
   beacon.control_address = this->settings.control_address;
   beacon.processor_share = this->settings.processor_share;
-  beacon.ready = this->beliefs.Ready(now);
-  beacon.stopping = this->beliefs.stopping_since.has_value();
-  beacon.leads = this->beliefs.leads;
-  beacon.configuration_revision = this->beliefs.configuration_revision;
-  beacon.configuration_age = this->beliefs.freshness.Age(now);
-  beacon.endpoints_revision = this->beliefs.endpoints.ChangedAt();
-  if (const auto confirmed = this->beliefs.endpoints.ConfirmedAt()) {
+  beacon.ready = this->state.Ready(now);
+  beacon.stopping = this->state.stopping_since.has_value();
+  beacon.leads = this->state.leads;
+  beacon.configuration_revision = this->state.configuration_revision;
+  beacon.configuration_age = this->state.freshness.Age(now);
+  beacon.endpoints_revision = this->state.endpoints.ChangedAt();
+  if (const auto confirmed = this->state.endpoints.ConfirmedAt()) {
     beacon.endpoints_age = now - *confirmed;
   }
   beacon.stamp = now.since_start.count();
-  beacon.loads = this->beliefs.loads.Own();
-  beacon.suspicions = this->beliefs.loads.Suspicions(now, this->beliefs.leads);
+  beacon.loads = this->state.loads.Own();
+  beacon.suspicions = this->state.loads.Suspicions(now, this->state.leads);
   return beacon;
 }
 
@@ -248,7 +248,7 @@
   beacon.about = this->about;
   for (const gossip::EngineFact& fact : this->facts) {
     const endpoints::Endpoint* endpoint =
-        this->beliefs.endpoints.Find(fact.endpoint);
+        this->state.endpoints.Find(fact.endpoint);
     if (endpoint == nullptr || endpoint->born != fact.born) continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
@@ -256,20 +256,20 @@
         {key, fact.layers, fact.slowdown, fact.token_layers});
   }
   if (!this->SpeaksForFleet(now)) return;
-  for (const gossip::EndpointLoad& load : this->beliefs.loads.All()) {
+  for (const gossip::EndpointLoad& load : this->state.loads.All()) {
     const endpoints::Endpoint* endpoint =
-        this->beliefs.endpoints.Find(load.endpoint);
+        this->state.endpoints.Find(load.endpoint);
     if (endpoint == nullptr) continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
     beacon.fleet_loads.push_back(
         {key, load.answers, load.token_layers, load.first_of});
   }
-  const bool tells_all = this->beliefs.peers.Large(now) && this->HearsAll(now);
+  const bool tells_all = this->state.peers.Large(now) && this->HearsAll(now);
   if (tells_all) beacon.ready_instances = this->ReadyInstances(now);
-  if (tells_all && this->beliefs.leads) {
+  if (tells_all && this->state.leads) {
     beacon.deputies = gossip::ChooseDeputies(
-        this->beliefs.peers, this->settings.failure_domain, now);
+        this->state.peers, this->settings.failure_domain, now);
   }
 }
 
@@ -278,8 +278,8 @@
   const auto add = [&](const std::string& address) {
     if (const auto number = gossip::IpNumber(address)) ready.push_back(*number);
   };
-  if (this->beliefs.Ready(now)) add(this->settings.callers_address);
-  for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
+  if (this->state.Ready(now)) add(this->settings.callers_address);
+  for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     if (peer->beacon.ready) add(peer->beacon.callers_address);
   }
   return ready;
@@ -293,15 +293,15 @@
   gossip::KeepToDatagram(beacon);
   if (content == Content::kFleet) this->AddFleet(beacon, now);
   const gossip::EncodedBeacon usual(beacon);
-  const std::string leader = this->beliefs.peers.Leader(now);
+  const std::string leader = this->state.peers.Leader(now);
   const auto deputies = this->OtherDeputies(leader);
   // In a large fleet only the leader and its deputies add up what the others
   // have under way, and tell all of them the sum: the single loads are most of
   // a beacon.
   gossip::Beacon brief = beacon;
-  if (this->beliefs.peers.Large(now)) brief.loads.clear();
+  if (this->state.peers.Large(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
-  auto known = this->beliefs.peers.Addresses(now);
+  auto known = this->state.peers.Addresses(now);
   std::shuffle(known.begin(), known.end(), this->random);
   known.resize(std::min(known.size(), kMostPeersTold));
   brief.peers = std::move(known);
@@ -334,15 +334,15 @@
 /// Whoever is not heard of may be new, and knows nobody yet. In a large fleet
 /// those of other failure domains are seldom heard of, but once is enough.
 bool PeerLink::MayKnowNobody(const std::string& address, TimePoint now) const {
-  const gossip::PeerTable& peers = this->beliefs.peers;
+  const gossip::PeerTable& peers = this->state.peers;
   return peers.Large(now) ? !peers.Heard(address)
                           : peers.Live(address, now) == nullptr;
 }
 
 void PeerLink::LogPeers(TimePoint now) {
-  const bool hears_few = this->beliefs.peers.Large(now) && !this->beliefs.leads;
+  const bool hears_few = this->state.peers.Large(now) && !this->state.leads;
   std::set<std::string> live;
-  for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
+  for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     // Those of other failure domains are heard of about once a minute.
     const bool far =
         peer->beacon.failure_domain != this->settings.failure_domain;
@@ -370,11 +370,11 @@
                        Fields().Text("sender", sender), now);
     return;
   }
-  if (!this->beliefs.peers.OnBeacon(sender, *beacon, now)) return;
+  if (!this->state.peers.OnBeacon(sender, *beacon, now)) return;
   this->stamps[sender] = Stamp{beacon->instance, beacon->stamp};
   for (const std::string& address : beacon->peers) {
     if (address == this->settings.datagram_address) continue;
-    this->beliefs.peers.AddAddress(address, now);
+    this->state.peers.AddAddress(address, now);
   }
   this->AdoptFrom(*beacon, now);
   this->copies.FetchNewer(*beacon);
@@ -384,7 +384,7 @@
   for (const gossip::Suspicion& one : beacon.suspicions) {
     this->AdoptSuspicion(one, now);
   }
-  const bool large = this->beliefs.peers.Large(now);
+  const bool large = this->state.peers.Large(now);
   const bool speaks =
       beacon.leads || !beacon.facts.empty() || !beacon.ready_instances.empty();
   if (speaks) this->AdoptFleet(beacon, now);
@@ -392,7 +392,7 @@
   // Hundreds of beacons a second come to the leader of a large fleet, and to
   // look through all peers for each of them is most of its time. The next
   // round takes what they prove.
-  const bool hears_few = !this->beliefs.leads && !this->beliefs.deputy;
+  const bool hears_few = !this->state.leads && !this->state.deputy;
   if (!large || hears_few) this->AdoptProofs(now);
 }
 
@@ -406,56 +406,56 @@
       now + kFactsFor + this->rotation.HubPeriod() * others;
   for (const gossip::KeyedFact& fact : beacon.facts) {
     const endpoints::Endpoint* endpoint =
-        this->beliefs.endpoints.FindByKey(fact.key);
+        this->state.endpoints.FindByKey(fact.key);
     if (endpoint == nullptr) continue;
-    this->beliefs.loads.SetFact({endpoint->id, endpoint->born, fact.layers,
+    this->state.loads.SetFact({endpoint->id, endpoint->born, fact.layers,
                                  fact.slowdown, fact.token_layers},
                                 facts_until);
   }
-  const bool follows = this->beliefs.peers.Large(now) && !this->beliefs.leads;
+  const bool follows = this->state.peers.Large(now) && !this->state.leads;
   if (!follows) return;
-  this->beliefs.roster.Take(beacon.ready_instances, now);
+  this->state.roster.Take(beacon.ready_instances, now);
   if (!beacon.deputies.empty()) this->SetDeputies(beacon.deputies);
   const std::string port = PortOf(this->settings.datagram_address);
   for (const std::uint32_t number : beacon.ready_instances) {
-    this->beliefs.peers.NoteSign(gossip::AddressOf(number, port), now);
+    this->state.peers.NoteSign(gossip::AddressOf(number, port), now);
   }
   // Without loads, only one that hears all says that endpoints are idle.
   const bool tells_loads =
       !beacon.fleet_loads.empty() || !beacon.ready_instances.empty();
   // A deputy adds up what it hears itself.
-  if (!tells_loads || this->beliefs.deputy) return;
+  if (!tells_loads || this->state.deputy) return;
   this->fleet_loads.Take(beacon.about, beacon.fleet_loads);
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::KeyedLoad& load : this->fleet_loads.All()) {
     const endpoints::Endpoint* endpoint =
-        this->beliefs.endpoints.FindByKey(load.key);
+        this->state.endpoints.FindByKey(load.key);
     if (endpoint == nullptr) continue;
     loads.push_back(
         {endpoint->id, load.answers, load.token_layers, load.first_of});
   }
-  this->beliefs.loads.SetFleet(loads);
+  this->state.loads.SetFleet(loads);
 }
 
 void PeerLink::AdoptProofs(TimePoint now) {
-  const auto configuration = this->beliefs.peers.ConfigurationVouched(
-      this->beliefs.configuration_revision, now);
-  if (configuration && this->beliefs.table) {
-    this->beliefs.freshness.Confirm(*configuration);
+  const auto configuration = this->state.peers.ConfigurationVouched(
+      this->state.configuration_revision, now);
+  if (configuration && this->state.table) {
+    this->state.freshness.Confirm(*configuration);
   }
-  if (const auto answered = this->beliefs.peers.StoreAnswered(now)) {
-    this->beliefs.endpoints.OnStoreAnswered(*answered, now);
+  if (const auto answered = this->state.peers.StoreAnswered(now)) {
+    this->state.endpoints.OnStoreAnswered(*answered, now);
   }
-  const std::uint64_t revision = this->beliefs.endpoints.Revision();
-  const auto listed = this->beliefs.peers.EndpointsVouched(revision, now);
+  const std::uint64_t revision = this->state.endpoints.Revision();
+  const auto listed = this->state.peers.EndpointsVouched(revision, now);
   if (!listed || revision == 0) return;
-  if (!this->beliefs.endpoints.Confirm(*listed, now)) return;
-  this->lists.OnList(this->beliefs.endpoints, ListCause::kGraceOver, true, 0,
+  if (!this->state.endpoints.Confirm(*listed, now)) return;
+  this->lists.OnList(this->state.endpoints, ListCause::kGraceOver, true, 0,
                      now);
 }
 
 void PeerLink::AdoptSuspicion(const gossip::Suspicion& one, TimePoint now) {
-  LoadBook& loads = this->beliefs.loads;
+  LoadBook& loads = this->state.loads;
   const TimePoint until = now + std::min(one.remaining, kLongestSuspicion);
   if (!one.silent) {
     loads.Suspect(one.endpoint, until);
@@ -464,20 +464,20 @@
   if (!loads.HeardSilent(one.endpoint, until, now)) return;
   this->logger.Write(Level::kNotable, "peer_found_engine_silent",
                      Fields().Text("endpoint", one.endpoint), now);
-  if (this->beliefs.leads && this->beliefs.peers.Large(now)) this->Announce();
+  if (this->state.leads && this->state.peers.Large(now)) this->Announce();
   if (this->engine_silent) this->engine_silent(one.endpoint);
 }
 
 void PeerLink::SumLoads(TimePoint now) {
   std::vector<gossip::EndpointLoad> loads;
-  for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
+  for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     const bool counts = !this->settings.mechanisms.silent_peers ||
                         now - peer->heard <= kLoadsCountFor;
     if (!counts) continue;
     const auto& theirs = peer->beacon.loads;
     loads.insert(loads.end(), theirs.begin(), theirs.end());
   }
-  this->beliefs.loads.SetPeers(loads);
+  this->state.loads.SetPeers(loads);
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/passage.cc
+++ b/lib/instance/proxied_request.cc
@@ -1,4 +1,4 @@
-#include "passage.h"
+#include "proxied_request.h"
 
 #include <algorithm>
 #include <charconv>
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-Passage::Passage(Gateway& owner, std::shared_ptr<http::Exchange> caller,
+ProxiedRequest::ProxiedRequest(Gateway& owner, std::shared_ptr<http::Exchange> caller,
                  Admitted admitted)
     : gateway(owner),
       exchange(std::move(caller)),
@@ -73,14 +73,14 @@
   this->gateway.passages.insert(this);
 }
 
-Passage::~Passage() {
+ProxiedRequest::~ProxiedRequest() {
   this->CancelCall();
   this->ReleaseLoad();
   this->gateway.loop.Cancel(this->deadline_timer);
   this->gateway.passages.erase(this);
 }
 
-void Passage::Start() {
+void ProxiedRequest::Start() {
   this->exchange->OnGone(
       [self = this->shared_from_this()] { self->OnCallerGone(); });
   const TimePoint now = this->gateway.loop.Now();
@@ -95,7 +95,7 @@
   this->Try();
 }
 
-bool Passage::MayQueue() const {
+bool ProxiedRequest::MayQueue() const {
   if (!this->IsModel() || this->lack != placement::PathLack::kRoom ||
       !this->gateway.settings.mechanisms.room_queue) {
     return false;
@@ -105,7 +105,7 @@
   return this->gateway.loop.Now() < until;
 }
 
-bool Passage::LeaveQueue() {
+bool ProxiedRequest::LeaveQueue() {
   if (this->finished) return true;
   const auto chosen = this->Choose();
   if (chosen) {
@@ -117,7 +117,7 @@
   return true;
 }
 
-void Passage::Try() {
+void ProxiedRequest::Try() {
   // Whoever came first is served first.
   const bool behind = this->IsModel() && !this->gateway.queue.empty();
   const auto chosen = behind ? std::nullopt : this->Choose();
@@ -134,7 +134,7 @@
   this->Send(*chosen);
 }
 
-void Passage::Send(const Target& to) {
+void ProxiedRequest::Send(const Target& to) {
   this->target = to;
   ++this->tries.made;
   ++this->tries.may_have_run;
@@ -171,7 +171,7 @@
   this->WatchSilence(this->Patience());
 }
 
-void Passage::OnHead(const http::ResponseHead& answer) {
+void ProxiedRequest::OnHead(const http::ResponseHead& answer) {
   if (this->finished || this->call == 0) return;
   this->has_head = true;
   this->last_data = this->gateway.loop.Now();
@@ -179,7 +179,7 @@
   this->JudgeHead(answer);
 }
 
-void Passage::JudgeHead(const http::ResponseHead& answer) {
+void ProxiedRequest::JudgeHead(const http::ResponseHead& answer) {
   const HeaderNames& names = this->gateway.names;
   const auto id = answer.headers.Find(names.request_id);
   const bool others = id && *id != this->request_id;
@@ -205,7 +205,7 @@
   if (this->IsStream()) this->BeginStream(answer);
 }
 
-void Passage::BeginStream(const http::ResponseHead& answer) {
+void ProxiedRequest::BeginStream(const http::ResponseHead& answer) {
   if (this->tries.answer_begun) return;
   this->tries.answer_begun = true;
   http::ResponseHead out;
@@ -215,7 +215,7 @@
   this->exchange->Begin(out);
 }
 
-void Passage::OnData(std::string_view bytes) {
+void ProxiedRequest::OnData(std::string_view bytes) {
   if (this->finished || this->call == 0) return;
   this->last_data = this->gateway.loop.Now();
   if (!this->head_good || !this->IsStream()) {
@@ -249,11 +249,11 @@
   this->exchange->Write(whole);
 }
 
-void Passage::OnDone(const http::CallResult& result) {
+void ProxiedRequest::OnDone(const http::CallResult& result) {
   this->call = 0;
   if (this->finished) return;
   if (result.end == http::CallEnd::kNotConnected) {
-    this->gateway.beliefs.loads.Suspect(
+    this->gateway.state.loads.Suspect(
         this->target.endpoint, this->gateway.loop.Now() + kUnreachableFor);
     this->EndTry(TryEnd::kNotSent, "not_connected");
     return;
@@ -281,7 +281,7 @@
   this->Finish("answered", this->head.status);
 }
 
-void Passage::FinishPlain() {
+void ProxiedRequest::FinishPlain() {
   http::ResponseHead out;
   out.status = this->head.status;
   out.reason = this->head.reason;
@@ -297,7 +297,7 @@
 }
 
 /// Returns where to try again, if that is allowed and there is such a place.
-std::optional<Passage::Target> Passage::ChooseAgain(TryEnd end) {
+std::optional<ProxiedRequest::Target> ProxiedRequest::ChooseAgain(TryEnd end) {
   const TimePoint now = this->gateway.loop.Now();
   if (now >= this->what.deadline) return std::nullopt;
   if (!attempts::MayTryAgain(*this->what.route, this->tries, end)) {
@@ -315,28 +315,28 @@
 }
 
 /// Returns the part of an engine's room that is taken, as far as is known.
-double Passage::RoomUsed(const std::string& id) const {
-  const Beliefs& beliefs = this->gateway.beliefs;
-  const endpoints::Endpoint* endpoint = beliefs.endpoints.Find(id);
+double ProxiedRequest::RoomUsed(const std::string& id) const {
+  const InstanceState& state = this->gateway.state;
+  const endpoints::Endpoint* endpoint = state.endpoints.Find(id);
   if (endpoint == nullptr || !this->IsModel()) return 0;
   const placement::EngineModel& model = *this->what.service->engine;
   const placement::AcceleratorKind* kind = model.FindKind(endpoint->kind);
   if (kind == nullptr) return 0;
   const placement::Engine engine =
-      beliefs.loads.ToEngine(*endpoint, this->gateway.loop.Now());
+      state.loads.ToEngine(*endpoint, this->gateway.loop.Now());
   const double room =
       placement::TokenLayerRoom(model, *kind, engine.layers.Count());
   return room > 0 ? engine.token_layers / room : 1;
 }
 
-void Passage::NoteRefusal(const std::string& endpoint, bool full) {
+void ProxiedRequest::NoteRefusal(const std::string& endpoint, bool full) {
   if (!this->gateway.settings.mechanisms.refusal_pauses) return;
-  this->gateway.beliefs.loads.OnRefusal(endpoint, full,
+  this->gateway.state.loads.OnRefusal(endpoint, full,
                                         this->gateway.loop.Now());
 }
 
 /// Ends the try under way and goes on with what the policy says.
-void Passage::EndTry(TryEnd end, std::string_view why) {
+void ProxiedRequest::EndTry(TryEnd end, std::string_view why) {
   this->CancelCall();
   this->ReleaseLoad();
   const TimePoint now = this->gateway.loop.Now();
@@ -374,7 +374,7 @@
   this->Proceed(end, why);
 }
 
-void Passage::Proceed(TryEnd end, std::string_view why) {
+void ProxiedRequest::Proceed(TryEnd end, std::string_view why) {
   if (this->abandoned) {
     this->Finish("left_by_caller", 0);
     return;
@@ -384,7 +384,7 @@
       attempts::After(*this->what.route, this->tries, end, next.has_value())) {
     case NextStep::kTryAgain:
       ++(this->tries.answer_begun ? this->gateway.counters.resumed
-                                  : this->gateway.counters.tried_again);
+                                  : this->gateway.counters.retried);
       this->Send(*next);
       return;
     case NextStep::kRefuse:
@@ -401,14 +401,14 @@
         this->AwaitPlace(end, why);
         return;
       }
-      ++this->gateway.counters.broken_off;
+      ++this->gateway.counters.aborted;
       this->exchange->Abort();
       this->Finish("broken_off", 0);
       return;
   }
 }
 
-void Passage::OnDeadline() {
+void ProxiedRequest::OnDeadline() {
   if (this->finished) return;
   ++this->gateway.counters.timed_out;
   if (this->tries.answer_begun) {
@@ -419,9 +419,9 @@
   this->Fail(http::kGatewayTimeout, "deadline");
 }
 
-void Passage::OnCallerGone() {
+void ProxiedRequest::OnCallerGone() {
   if (this->finished) return;
-  ++this->gateway.counters.left_by_caller;
+  ++this->gateway.counters.caller_disconnected;
   if (this->what.route->kind == routes::RequestKind::kNonIdempotent &&
       this->call != 0) {
     // Work that must not run twice goes on once it was sent: nobody can tell
@@ -432,9 +432,9 @@
   this->Finish("left_by_caller", 0);
 }
 
-void Passage::Refuse(std::string_view why) {
+void ProxiedRequest::Refuse(std::string_view why) {
   if (this->tries.answer_begun) {
-    ++this->gateway.counters.broken_off;
+    ++this->gateway.counters.aborted;
     this->exchange->Abort();
     this->Finish("broken_off", 0);
     return;
@@ -450,7 +450,7 @@
   this->Finish("refused", http::kUnavailable);
 }
 
-void Passage::Fail(int status, std::string_view why) {
+void ProxiedRequest::Fail(int status, std::string_view why) {
   http::ResponseHead out;
   out.status = status;
   out.headers.Add("Content-Type", "text/plain");
@@ -463,7 +463,7 @@
   this->Finish("failed", status);
 }
 
-void Passage::Finish(std::string_view outcome, int status) {
+void ProxiedRequest::Finish(std::string_view outcome, int status) {
   if (std::exchange(this->finished, true)) return;
   this->CancelCall();
   this->ReleaseLoad();
@@ -489,20 +489,20 @@
           .Millis("took_ms", this->gateway.loop.Now() - this->what.arrived));
 }
 
-void Passage::CancelCall() {
+void ProxiedRequest::CancelCall() {
   const http::CallId open = std::exchange(this->call, 0);
   if (open == 0) return;
   this->gateway.client.Cancel(open);
 }
 
-void Passage::ReleaseLoad() {
+void ProxiedRequest::ReleaseLoad() {
   for (const auto& load : this->counted) {
-    this->gateway.beliefs.loads.Ended(load);
+    this->gateway.state.loads.Ended(load);
   }
   this->counted.clear();
 }
 
-void Passage::Log(Level level, std::string_view event,
+void ProxiedRequest::Log(Level level, std::string_view event,
                   const Fields& more) const {
   Fields fields;
   fields.Text("request", this->request_id)
--- a/lib/instance/passage.h
+++ b/lib/instance/proxied_request.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_LIB_INSTANCE_PASSAGE_H_
-#define TOUCANWHARF_LIB_INSTANCE_PASSAGE_H_
+#ifndef TOUCANWHARF_LIB_INSTANCE_PROXIED_REQUEST_H_
+#define TOUCANWHARF_LIB_INSTANCE_PROXIED_REQUEST_H_
 
 #include <algorithm>
 #include <memory>
@@ -42,17 +42,17 @@
 };
 
 /// One request on its way: tries endpoints, hands the answer back, and goes on
-/// elsewhere when an endpoint fails. passage.cc has its life from the first try
-/// to the end, passage_target.cc where a try goes and what is sent there,
-/// passage_silence.cc what is done when an endpoint says nothing.
+/// elsewhere when an endpoint fails. proxied_request.cc has its life from the first try
+/// to the end, proxied_request_target.cc where a try goes and what is sent there,
+/// proxied_request_stall.cc what is done when an endpoint says nothing.
 /// Thread safety: only on the loop's thread.
-class Passage : public std::enable_shared_from_this<Passage> {
+class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
  public:
-  Passage(Gateway& owner, std::shared_ptr<http::Exchange> caller,
+  ProxiedRequest(Gateway& owner, std::shared_ptr<http::Exchange> caller,
           Admitted what);
-  ~Passage();
-  Passage(const Passage&) = delete;
-  Passage& operator=(const Passage&) = delete;
+  ~ProxiedRequest();
+  ProxiedRequest(const ProxiedRequest&) = delete;
+  ProxiedRequest& operator=(const ProxiedRequest&) = delete;
 
   void Start();
   /// Looks for room again. Returns whether this request need not wait any
@@ -176,4 +176,4 @@
 
 }  // namespace toucanwharf::instance
 
-#endif  // TOUCANWHARF_LIB_INSTANCE_PASSAGE_H_
+#endif  // TOUCANWHARF_LIB_INSTANCE_PROXIED_REQUEST_H_
--- a/lib/instance/passage_silence.cc
+++ b/lib/instance/proxied_request_stall.cc
@@ -2,7 +2,7 @@
 #include <string>
 #include <utility>
 
-#include "passage.h"
+#include "proxied_request.h"
 
 namespace toucanwharf::instance {
 namespace {
@@ -47,10 +47,10 @@
 /// Part of the answer is out, and nowhere is room for the rest of it yet. The
 /// caller waits for the next event anyway, so the answer is given up only when
 /// the caller would be gone.
-void Passage::AwaitPlace(TryEnd end, std::string_view why) {
+void ProxiedRequest::AwaitPlace(TryEnd end, std::string_view why) {
   const TimePoint now = this->gateway.loop.Now();
   if (now - this->last_data > kCallersPatience) {
-    ++this->gateway.counters.broken_off;
+    ++this->gateway.counters.aborted;
     this->exchange->Abort();
     this->Finish("broken_off", 0);
     return;
@@ -63,7 +63,7 @@
       });
 }
 
-Duration Passage::Patience() const {
+Duration ProxiedRequest::Patience() const {
   if (!this->IsStream()) return kPlainSilence;
   if (this->HasSilentEngine()) return this->pace.PatienceOnceSuspected();
   const Duration usual = this->pace.Patience();
@@ -74,22 +74,22 @@
   return std::max(usual, std::min(restrained, kMostRestrained));
 }
 
-bool Passage::HasSilentEngine() const {
+bool ProxiedRequest::HasSilentEngine() const {
   const TimePoint now = this->gateway.loop.Now();
   const auto& stages = this->target.stages;
   return std::any_of(stages.begin(), stages.end(), [&](const auto& stage) {
-    return this->gateway.beliefs.loads.Silent(stage.endpoint, now);
+    return this->gateway.state.loads.Silent(stage.endpoint, now);
   });
 }
 
-std::optional<endpoints::AnswerSign> Passage::Sign() const {
+std::optional<endpoints::AnswerSign> ProxiedRequest::Sign() const {
   const bool shows =
       this->call != 0 && this->any_event && this->last_data > this->try_began;
   if (!shows) return std::nullopt;
   return endpoints::AnswerSign{this->target.stages, this->last_data};
 }
 
-void Passage::OnEngineSilent(const std::string& endpoint) {
+void ProxiedRequest::OnEngineSilent(const std::string& endpoint) {
   if (this->finished || this->call == 0) return;
   if (!RunsThrough(this->target.stages, endpoint)) return;
   this->WatchSilence(std::max(
@@ -97,7 +97,7 @@
       this->Patience() - (this->gateway.loop.Now() - this->last_data)));
 }
 
-void Passage::WatchSilence(Duration delay) {
+void ProxiedRequest::WatchSilence(Duration delay) {
   if (!this->what.route->Repeatable()) return;
   this->gateway.loop.Cancel(this->silence_timer);
   this->silence_timer =
@@ -106,7 +106,7 @@
       });
 }
 
-void Passage::OnSilence() {
+void ProxiedRequest::OnSilence() {
   if (this->finished || this->call == 0 || this->changing_path) return;
   const Duration silent = this->gateway.loop.Now() - this->last_data;
   const Duration left = this->Patience() - silent;
@@ -128,7 +128,7 @@
 /// Asks the first engine why no event comes, and those of the others that may
 /// be the cause whether they live: the first engine's report tells of a silent
 /// one only after some hundred milliseconds.
-void Passage::AskEngines() {
+void ProxiedRequest::AskEngines() {
   if (this->asking) return;
   this->asking = true;
   const TimePoint now = this->gateway.loop.Now();
@@ -152,7 +152,7 @@
 }
 
 /// The first engine of the path has said why no event came, or nothing.
-void Passage::OnFirstEngine(const ProbeAnswer& answer) {
+void ProxiedRequest::OnFirstEngine(const ProbeAnswer& answer) {
   const Duration silent = this->gateway.loop.Now() - this->last_data;
   if (silent < this->Patience()) {
     this->WatchSilence(this->Patience() - silent);
@@ -183,7 +183,7 @@
 
 /// Takes the engine at \p address as silent, which leads the answers around it
 /// that have stopped, this one too.
-void Passage::NoteSilentAt(const std::string& address) {
+void ProxiedRequest::NoteSilentAt(const std::string& address) {
   const auto stages = this->target.stages;
   for (const pipeline::Stage& stage : stages) {
     if (stage.address == address) this->gateway.NoteSilent(stage.endpoint);
@@ -193,11 +193,11 @@
 /// Goes on with the answer without the engine that is silent. It begins anew on
 /// another path where that is allowed: all answers of a path stop together, and
 /// one stand-in would have to read them all, while other paths share the work.
-void Passage::GoAround() {
+void ProxiedRequest::GoAround() {
   ++this->gateway.counters.stalls;
   const TimePoint now = this->gateway.loop.Now();
   const bool first_silent =
-      this->gateway.beliefs.loads.Silent(this->target.endpoint, now);
+      this->gateway.state.loads.Silent(this->target.endpoint, now);
   const bool resume_first = this->gateway.settings.mechanisms.resume_first;
   if (first_silent || (resume_first && this->HasPlaceElsewhere())) {
     this->TryElsewhere("engine_silent");
@@ -206,7 +206,7 @@
   this->Repath();
 }
 
-bool Passage::HasPlaceElsewhere() {
+bool ProxiedRequest::HasPlaceElsewhere() {
   return attempts::MayTryAgain(*this->what.route, this->tries,
                                TryEnd::kUnknown) &&
          this->gateway.budget.HasExtra(this->what.service->name,
@@ -216,7 +216,7 @@
 
 /// Ends the try under way if there is another place; a silent endpoint may
 /// still answer, and is better than none.
-void Passage::TryElsewhere(std::string_view why) {
+void ProxiedRequest::TryElsewhere(std::string_view why) {
   if (!this->HasPlaceElsewhere()) {
     this->WatchSilence(kPlaceLook);
     return;
@@ -226,7 +226,7 @@
 
 /// Leads the answer around the engines that are silent. The engines that stay
 /// keep what they hold of it, so only the new ones read it again.
-void Passage::Repath() {
+void ProxiedRequest::Repath() {
   const auto next = this->ChoosePath(this->target.stages);
   if (!next) {
     this->TryElsewhere("no_way_around");
@@ -234,7 +234,7 @@
   }
   this->changing_path = true;
   http::Request order =
-      this->gateway.calls.repath(RepathOrder{this->request_id, next->stages});
+      this->gateway.calls.repath(RerouteOrder{this->request_id, next->stages});
   order.headers.Set(this->gateway.names.expected_endpoint,
                     this->target.endpoint);
   http::Fetch(this->gateway.loop, this->gateway.client, this->target.address,
@@ -252,7 +252,7 @@
               });
 }
 
-void Passage::OnRepathed(const std::vector<pipeline::Stage>& stages, int status,
+void ProxiedRequest::OnRepathed(const std::vector<pipeline::Stage>& stages, int status,
                          const std::string& body) {
   const TimePoint now = this->gateway.loop.Now();
   const std::string fault = this->gateway.calls.repath_fault(body);
@@ -267,7 +267,7 @@
     this->OnRepathRefused(stages, fault);
     return;
   }
-  ++this->gateway.counters.repathed;
+  ++this->gateway.counters.rerouted;
   this->ReleaseLoad();
   this->target.stages = stages;
   this->CountLoad();
@@ -278,7 +278,7 @@
 
 /// Tries another way around, without the engine that has no room or has lost
 /// its part, while the answer's caller still waits.
-void Passage::OnRepathRefused(const std::vector<pipeline::Stage>& stages,
+void ProxiedRequest::OnRepathRefused(const std::vector<pipeline::Stage>& stages,
                               const std::string& fault) {
   bool named = false;
   for (const pipeline::Stage& stage : stages) {
--- a/lib/instance/passage_target.cc
+++ b/lib/instance/proxied_request_target.cc
@@ -2,27 +2,27 @@
 #include <utility>
 
 #include "absl/strings/str_cat.h"
-#include "passage.h"
+#include "proxied_request.h"
 
 namespace toucanwharf::instance {
 
-std::optional<Passage::Target> Passage::Choose() {
+std::optional<ProxiedRequest::Target> ProxiedRequest::Choose() {
   return this->IsModel() ? this->ChoosePath({}) : this->ChoosePlain();
 }
 
-std::optional<Passage::Target> Passage::ChoosePath(
+std::optional<ProxiedRequest::Target> ProxiedRequest::ChoosePath(
     const std::vector<pipeline::Stage>& current) {
-  Beliefs& beliefs = this->gateway.beliefs;
+  InstanceState& state = this->gateway.state;
   const TimePoint now = this->gateway.loop.Now();
   std::vector<placement::Engine> engines;
-  beliefs.endpoints.ForEachReady(
+  state.endpoints.ForEachReady(
       this->what.service->name, [&](const endpoints::Endpoint& endpoint) {
         // A full engine can keep what it holds of the answer.
         const bool held = RunsThrough(current, endpoint.id);
-        const bool unfit = held ? beliefs.loads.Silent(endpoint.id, now)
-                                : beliefs.loads.Suspected(endpoint.id, now);
+        const bool unfit = held ? state.loads.Silent(endpoint.id, now)
+                                : state.loads.Suspected(endpoint.id, now);
         if (unfit) return;
-        engines.push_back(beliefs.loads.ToEngine(endpoint, now));
+        engines.push_back(state.loads.ToEngine(endpoint, now));
       });
   placement::PathQuery query;
   query.failure_domain = this->gateway.settings.failure_domain;
@@ -33,7 +33,7 @@
   placement::PathSettings settings;
   const Mechanisms& mechanisms = this->gateway.settings.mechanisms;
   settings.crowding_price = mechanisms.crowding_price;
-  if (beliefs.peers.Large(now)) {
+  if (state.peers.Large(now)) {
     if (mechanisms.entry_choices) {
       settings.entry_choices = placement::kEntryChoicesInLargeFleet;
     }
@@ -53,20 +53,20 @@
                 choice.path->token_millis};
 }
 
-std::optional<Passage::Target> Passage::ChoosePlain() {
-  Beliefs& beliefs = this->gateway.beliefs;
+std::optional<ProxiedRequest::Target> ProxiedRequest::ChoosePlain() {
+  InstanceState& state = this->gateway.state;
   const TimePoint now = this->gateway.loop.Now();
   std::optional<Target> best;
   double least = 0;
-  beliefs.endpoints.ForEachReady(
+  state.endpoints.ForEachReady(
       this->what.service->name, [&](const endpoints::Endpoint& endpoint) {
         if (this->excluded.contains(endpoint.id)) return;
-        const gossip::EndpointLoad load = beliefs.loads.Total(endpoint.id);
+        const gossip::EndpointLoad load = state.loads.Total(endpoint.id);
         // Suspected endpoints only when there is no other.
         constexpr double kSuspectedCost = 1000;
         const double cost =
             (load.answers + this->gateway.random.Unit()) / endpoint.slots +
-            (beliefs.loads.Suspected(endpoint.id, now) ? kSuspectedCost : 0);
+            (state.loads.Suspected(endpoint.id, now) ? kSuspectedCost : 0);
         if (best && cost >= least) return;
         least = cost;
         best = Target{endpoint.id, endpoint.address, {}, 0};
@@ -74,7 +74,7 @@
   return best;
 }
 
-http::Request Passage::BuildRequest(const Target& to) const {
+http::Request ProxiedRequest::BuildRequest(const Target& to) const {
   const HeaderNames& names = this->gateway.names;
   const http::Request& received = this->exchange->Received();
   http::Request request;
@@ -104,7 +104,7 @@
   return request;
 }
 
-void Passage::CountLoad() {
+void ProxiedRequest::CountLoad() {
   const double tokens = this->prompt_tokens + this->output_tokens;
   const Target& to = this->target;
   if (to.stages.empty()) {
@@ -116,7 +116,7 @@
         {stage.endpoint, 1, tokens * stage.layers.Count(), first ? 1.0 : 0.0});
   }
   for (const auto& load : this->counted) {
-    this->gateway.beliefs.loads.Began(load);
+    this->gateway.state.loads.Began(load);
   }
 }
 
--- a/lib/instance/peer_copies.cc
+++ b/lib/instance/snapshot_exchange.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/instance/peer_copies.h"
+#include "toucanwharf/instance/snapshot_exchange.h"
 
 #include <algorithm>
 #include <charconv>
@@ -112,57 +112,57 @@
   }
 }
 
-PeerCopies::PeerCopies(http::Loop& event_loop, http::Client& http_client,
-                       Beliefs& shared_beliefs, eventlog::Logger& log,
+SnapshotExchange::SnapshotExchange(http::Loop& event_loop, http::Client& http_client,
+                       InstanceState& shared_state, eventlog::Logger& log,
                        EndpointListLog& list_log,
                        std::string own_failure_domain)
     : loop(event_loop),
       client(http_client),
-      beliefs(shared_beliefs),
+      state(shared_state),
       logger(log),
       lists(list_log),
       failure_domain(std::move(own_failure_domain)),
-      random(HashText(shared_beliefs.instance)) {}
+      random(HashText(shared_state.instance)) {}
 
-void PeerCopies::Start(OnConfiguration on_configuration,
+void SnapshotExchange::Start(OnConfiguration on_configuration,
                        OnEndpoints on_endpoints) {
   this->take_configuration = std::move(on_configuration);
   this->endpoints_changed = std::move(on_endpoints);
 }
 
-std::string PeerCopies::PathOf(Kind kind) {
+std::string SnapshotExchange::PathOf(Kind kind) {
   return std::string(kind == Kind::kConfiguration ? kConfigurationPath
                                                   : kEndpointsPath);
 }
 
-std::uint64_t PeerCopies::RevisionIn(const gossip::Beacon& beacon, Kind kind) {
+std::uint64_t SnapshotExchange::RevisionIn(const gossip::Beacon& beacon, Kind kind) {
   return kind == Kind::kConfiguration ? beacon.configuration_revision
                                       : beacon.endpoints_revision;
 }
 
-std::uint64_t PeerCopies::KnownHere(Kind kind) const {
-  return kind == Kind::kConfiguration ? this->beliefs.configuration_revision
-                                      : this->beliefs.endpoints.Revision();
+std::uint64_t SnapshotExchange::KnownHere(Kind kind) const {
+  return kind == Kind::kConfiguration ? this->state.configuration_revision
+                                      : this->state.endpoints.Revision();
 }
 
-void PeerCopies::FetchNewer(const gossip::Beacon& beacon) {
+void SnapshotExchange::FetchNewer(const gossip::Beacon& beacon) {
   for (const Kind kind : {Kind::kConfiguration, Kind::kEndpoints}) {
     const std::uint64_t revision = RevisionIn(beacon, kind);
     if (revision <= this->KnownHere(kind)) continue;
     if (std::exchange(this->Fetching(kind), true)) continue;
     // A process that has none serves nobody until it comes.
-    const bool waits = this->beliefs.peers.Large(this->loop.Now()) &&
+    const bool waits = this->state.peers.Large(this->loop.Now()) &&
                        this->KnownHere(kind) > 0;
     const Duration delay = waits ? this->UpTo(kFetchSpread) : Duration(0);
     this->FetchAfter(delay, {kind, revision, beacon.control_address, 0});
   }
 }
 
-void PeerCopies::FetchAfter(Duration delay, const Wanted& wanted) {
+void SnapshotExchange::FetchAfter(Duration delay, const Wanted& wanted) {
   this->loop.After(delay, [this, wanted] { this->Fetch(wanted); });
 }
 
-void PeerCopies::Fetch(const Wanted& wanted) {
+void SnapshotExchange::Fetch(const Wanted& wanted) {
   if (wanted.revision <= this->KnownHere(wanted.kind)) {
     this->Fetching(wanted.kind) = false;
     return;
@@ -181,7 +181,7 @@
               });
 }
 
-void PeerCopies::OnFetched(Wanted wanted, const std::string& source, int status,
+void SnapshotExchange::OnFetched(Wanted wanted, const std::string& source, int status,
                            const http::ResponseHead& head,
                            const std::string& body) {
   if (status == http::kOk && this->Take(wanted.kind, head, body)) {
@@ -205,7 +205,7 @@
   this->FetchAfter(kTryAgainAfter / 2 + this->UpTo(kTryAgainAfter), wanted);
 }
 
-bool PeerCopies::Take(Kind kind, const http::ResponseHead& head,
+bool SnapshotExchange::Take(Kind kind, const http::ResponseHead& head,
                       const std::string& body) {
   const auto text = TextOf(head, body);
   if (!text) return false;
@@ -214,21 +214,21 @@
   return true;
 }
 
-bool PeerCopies::TakeEndpoints(const std::string& text) {
+bool SnapshotExchange::TakeEndpoints(const std::string& text) {
   auto listed = EndpointsFromText(text);
   if (!listed) return false;
   const TimePoint now = this->loop.Now();
-  const bool new_list = this->beliefs.endpoints.Adopt(std::move(*listed), now);
-  this->lists.OnList(this->beliefs.endpoints, ListCause::kPeer, new_list, 0,
+  const bool new_list = this->state.endpoints.Adopt(std::move(*listed), now);
+  this->lists.OnList(this->state.endpoints, ListCause::kPeer, new_list, 0,
                      now);
   if (new_list) this->endpoints_changed();
   return true;
 }
 
-std::string PeerCopies::SourceOf(const Wanted& wanted, TimePoint now) {
-  if (!this->beliefs.peers.Large(now)) return wanted.teller;
+std::string SnapshotExchange::SourceOf(const Wanted& wanted, TimePoint now) {
+  if (!this->state.peers.Large(now)) return wanted.teller;
   std::vector<const gossip::Peer*> near;
-  for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
+  for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     const gossip::Beacon& beacon = peer->beacon;
     // A peer that was heard of long ago may be gone.
     const bool lately = now - peer->heard <= kFetchSpread * 2;
@@ -240,41 +240,41 @@
   return near[this->random() % near.size()]->beacon.control_address;
 }
 
-Duration PeerCopies::UpTo(Duration most) {
+Duration SnapshotExchange::UpTo(Duration most) {
   return Duration(static_cast<std::int64_t>(this->random.Unit() *
                                             static_cast<double>(most.count())));
 }
 
-bool PeerCopies::Has(Kind kind) const {
-  return kind == Kind::kConfiguration ? this->beliefs.table != nullptr
-                                      : this->beliefs.endpoints.ChangedAt() > 0;
+bool SnapshotExchange::Has(Kind kind) const {
+  return kind == Kind::kConfiguration ? this->state.table != nullptr
+                                      : this->state.endpoints.ChangedAt() > 0;
 }
 
-const PeerCopies::Copy& PeerCopies::Renewed(Kind kind) {
-  const endpoints::EndpointTable& table = this->beliefs.endpoints;
+const SnapshotExchange::Copy& SnapshotExchange::Renewed(Kind kind) {
+  const endpoints::EndpointTable& table = this->state.endpoints;
   const bool of_endpoints = kind == Kind::kEndpoints;
   Copy& copy = of_endpoints ? this->endpoints : this->configuration;
   const std::uint64_t revision =
-      of_endpoints ? table.ChangedAt() : this->beliefs.configuration_revision;
+      of_endpoints ? table.ChangedAt() : this->state.configuration_revision;
   // While endpoints are kept the text tells for how much longer.
   const std::size_t kept = of_endpoints ? table.Kept() : 0;
   if (copy.revision == revision && copy.kept == 0 && kept == 0) return copy;
   copy.text = of_endpoints ? EndpointsToText(table.Share(this->loop.Now()))
-                           : this->beliefs.configuration_text;
+                           : this->state.configuration_text;
   copy.deflated = Deflate(copy.text);
   copy.revision = revision;
   copy.kept = kept;
   return copy;
 }
 
-bool PeerCopies::Busy() {
+bool SnapshotExchange::Busy() {
   std::erase_if(this->handing_out, [](const auto& one) {
     return one->Gone() || one->Unsent() == 0;
   });
   return this->handing_out.size() >= kHandedOutAtOnce;
 }
 
-bool PeerCopies::Handle(const std::shared_ptr<http::Exchange>& exchange) {
+bool SnapshotExchange::Handle(const std::shared_ptr<http::Exchange>& exchange) {
   const std::string path(http::PathOf(exchange->Received().target));
   for (const Kind kind : {Kind::kConfiguration, Kind::kEndpoints}) {
     if (path != PathOf(kind) || !this->Has(kind)) continue;
--- a/unittests/adapter/adapter_test.cc
+++ b/unittests/adapter/adapter_test.cc
@@ -160,10 +160,10 @@
 
 BOOST_AUTO_TEST_CASE(EntryAnswerHasAddressesAndTime) {
   const auto body = nlohmann::json::parse(
-      PlatformAdapter::EntryAnswer({"10.1.0.4:1"}, milliseconds(1500)));
+      PlatformAdapter::EntryResponse({"10.1.0.4:1"}, milliseconds(1500)));
   BOOST_TEST(body["addrs"][0] == "10.1.0.4:1");
   BOOST_TEST(body["ttl_s"] == 1.5);
-  const auto question = PlatformAdapter::ToEntryQuestion(
+  const auto question = PlatformAdapter::ToEntryRequest(
       "/toucanwharf/resolve?name=h&zone=zone-a&region=r");
   BOOST_REQUIRE(question.has_value());
   BOOST_TEST(question->failure_domain == "zone-a");
--- a/unittests/adapter/store_reads_test.cc
+++ b/unittests/adapter/store_reads_test.cc
@@ -61,11 +61,11 @@
 BOOST_AUTO_TEST_CASE(ReadIsNotBegunBesideOneUnderWay) {
   http::Loop loop;
   SlowStore store(loop);
-  Beliefs beliefs(InstanceSettings{}, "instance");
+  InstanceState state(InstanceSettings{}, "instance");
   eventlog::Logger logger(STDERR_FILENO, "instance");
   EndpointListLog lists(logger);
   StoreSync<SlowAdapter> sync(
-      loop, store, beliefs, logger, lists, [] {},
+      loop, store, state, logger, lists, [] {},
       StoreSyncTimes(milliseconds(4000)), gossip::FirstRead(1, loop.Now(), 0));
   sync.Start();
   loop.After(milliseconds(850), [&loop] { loop.Stop(); });
--- a/unittests/instance/peer_copies_test.cc
+++ b/unittests/instance/snapshot_exchange_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/instance/peer_copies.h"
+#include "toucanwharf/instance/snapshot_exchange.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -42,15 +42,15 @@
  public:
   Holder(http::Loop& event_loop, const std::string& name)
       : loop(event_loop),
-        beliefs(InstanceSettings{}, name),
+        state(InstanceSettings{}, name),
         logger(STDERR_FILENO, name),
         client(event_loop),
-        copies(event_loop, this->client, this->beliefs, this->logger,
+        copies(event_loop, this->client, this->state, this->logger,
                this->lists, "domain") {
     this->copies.Start(
         [this](std::uint64_t revision, const std::string& text) {
-          this->beliefs.configuration_revision = revision;
-          this->beliefs.configuration_text = text;
+          this->state.configuration_revision = revision;
+          this->state.configuration_text = text;
           ++this->taken;
         },
         [] {});
@@ -64,10 +64,10 @@
   }
 
   void Hold(const std::string& text) {
-    this->beliefs.table =
+    this->state.table =
         std::make_shared<const routes::RouteTable>(routes::Configuration{});
-    ++this->beliefs.configuration_revision;
-    this->beliefs.configuration_text = text;
+    ++this->state.configuration_revision;
+    this->state.configuration_text = text;
   }
   std::string Address() const {
     return "127.0.0.1:" + std::to_string(this->server->Port());
@@ -75,17 +75,17 @@
   /// Returns the beacon by which others hear of what it holds.
   gossip::Beacon Told() const {
     gossip::Beacon beacon;
-    beacon.configuration_revision = this->beliefs.configuration_revision;
+    beacon.configuration_revision = this->state.configuration_revision;
     beacon.control_address = this->Address();
     return beacon;
   }
 
   http::Loop& loop;
-  Beliefs beliefs;
+  InstanceState state;
   eventlog::Logger logger;
   EndpointListLog lists{this->logger};
   http::Client client;
-  PeerCopies copies;
+  SnapshotExchange copies;
   std::unique_ptr<http::Server> server;
   int taken = 0;
   int asked = 0;
@@ -152,7 +152,7 @@
   }
   bool FollowerHas(const std::string& text) {
     return this->thread.Eventually(
-        [&] { return this->follower->beliefs.configuration_text == text; });
+        [&] { return this->follower->state.configuration_text == text; });
   }
 
   LoopThread thread;
--- a/unittests/instance/store_sync_test.cc
+++ b/unittests/instance/store_sync_test.cc
@@ -14,7 +14,7 @@
   for (const int bound_millis : {2000, 3000}) {
     const Duration bound = milliseconds(bound_millis);
     const StoreSyncTimes times(bound);
-    BOOST_CHECK(times.oldest_proof + times.look_period + kLongestStoreCall <=
+    BOOST_CHECK(times.oldest_proof + times.look_period + kStoreInactivityTimeout <=
                 bound);
     // What the reader vouches for, and a beacon that is lost, come before it.
     BOOST_CHECK(times.reader_period + times.look_period + milliseconds(250) <
