--- a/bench/decisions/experiments.cc
+++ b/bench/decisions/experiments.cc
@@ -51,8 +51,8 @@
 
 /// The settings with which the gate was first measured: limits that see no KV
 /// memory, one request for each router waiting inside an endpoint, two draws.
-admission::GateSettings FirstVersion() {
-  admission::GateSettings settings;
+admission::AdmissionSettings FirstVersion() {
+  admission::AdmissionSettings settings;
   settings.limiter.backlog = 1;
   settings.limiter.memory_part = -1e12;
   settings.draws = 2;
@@ -60,7 +60,7 @@
 }
 
 Row RunGate(Case wanted, const std::string& policy,
-            const admission::GateSettings& settings, const Bound& bound) {
+            const admission::AdmissionSettings& settings, const Bound& bound) {
   wanted.run.traffic.requests_per_second =
       wanted.offered * bound.requests_per_second;
   Simulation<GateRouter> simulation(wanted.run,
--- a/bench/decisions/routers.cc
+++ b/bench/decisions/routers.cc
@@ -24,7 +24,7 @@
 }
 
 GateRouter::GateRouter(const RouterSetup& setup,
-                       const admission::GateSettings& settings)
+                       const admission::AdmissionSettings& settings)
     : gate(settings, setup.seed) {
   this->gate.SetRouters(setup.routers);
   for (std::size_t at = 0; at < setup.fleet->size(); ++at) {
@@ -40,7 +40,7 @@
   request.customer = CustomerName(job.customer);
   request.size = {job.prompt_tokens, 1024};
   request.deadline = job.deadline;
-  const admission::Offered offered = this->gate.Offer(now, request);
+  const admission::OfferResult offered = this->gate.Offer(now, request);
   return std::holds_alternative<admission::Waiting>(offered);
 }
 
@@ -73,7 +73,7 @@
 
 void GateRouter::Heard(TimePoint now, std::uint32_t peer,
                        const admission::Usage& usage) {
-  this->gate.CustomerShares().Heard(now, std::to_string(peer), usage);
+  this->gate.CustomerShares().MergePeerUsage(now, std::to_string(peer), usage);
 }
 
 PlainRouter::PlainRouter(const RouterSetup& setup, Baseline chosen)
--- a/bench/decisions/routers.h
+++ b/bench/decisions/routers.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "fleet.h"
-#include "toucanwharf/admission/gate.h"
+#include "toucanwharf/admission/admission_controller.h"
 #include "toucanwharf/routing/load_view.h"
 
 /// \file
@@ -42,7 +42,7 @@
 /// This repository's decisions.
 class GateRouter {
  public:
-  GateRouter(const RouterSetup& setup, const admission::GateSettings& settings);
+  GateRouter(const RouterSetup& setup, const admission::AdmissionSettings& settings);
 
   /// Returns false when the job is refused at once.
   bool Offer(TimePoint now, const Job& job);
@@ -56,7 +56,7 @@
   std::size_t Waiting() const { return this->gate.WaitingCount(); }
 
  private:
-  mutable admission::Gate gate;
+  mutable admission::AdmissionController gate;
   std::vector<std::string> chain_names;
 };
 
--- a/include/toucanwharf/admission/gate.h
+++ b/include/toucanwharf/admission/admission_controller.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_ADMISSION_GATE_H_
-#define TOUCANWHARF_ADMISSION_GATE_H_
+#ifndef TOUCANWHARF_ADMISSION_ADMISSION_CONTROLLER_H_
+#define TOUCANWHARF_ADMISSION_ADMISSION_CONTROLLER_H_
 
 #include <cstdint>
 #include <optional>
@@ -25,7 +25,7 @@
 /// model version, or of one plain service), behind one small interface.
 ///
 /// \code
-///   Gate gate(GateSettings{}, /*seed=*/7);
+///   AdmissionController gate(AdmissionSettings{}, /*seed=*/7);
 ///   gate.AddEndpoint(now, "e1", {.slots = 8}, /*fresh=*/false);
 ///   // A request comes in; it waits or is refused at once.
 ///   const Offered offered = gate.Offer(now, {.id = "r1", .customer = "atlas",
@@ -83,7 +83,7 @@
   friend bool operator==(const Waiting&, const Waiting&) = default;
 };
 
-using Offered = std::variant<Waiting, Refusal>;
+using OfferResult = std::variant<Waiting, Refusal>;
 
 /// A request to be handed over now.
 struct Dispatch {
@@ -107,7 +107,7 @@
 };
 
 /// The settings of all units of a gate.
-struct GateSettings {
+struct AdmissionSettings {
   QueueSettings queue;
   LimiterSettings limiter;
   RetryBudgetSettings retries;
@@ -126,9 +126,9 @@
 
 /// Decisions under load for one pool.
 /// Thread safety: none; for one thread.
-class Gate {
+class AdmissionController {
  public:
-  Gate(const GateSettings& settings, std::uint64_t seed);
+  AdmissionController(const AdmissionSettings& settings, std::uint64_t seed);
 
   /// Learns of endpoint \p id or changes its specification. \p fresh: it has
   /// just joined the pool (slow start).
@@ -150,7 +150,7 @@
 
   /// Takes \p request in or refuses it at once.
   /// Precondition: its id is not known to the gate.
-  Offered Offer(TimePoint now, const Request& request);
+  OfferResult Offer(TimePoint now, const Request& request);
 
   /// Returns the next request to hand over, planned by \p plan, or nothing
   /// when none waits or no endpoint has room. Counts it as handed over.
@@ -182,7 +182,7 @@
 
   /// Notes that request \p id, which was handed over, goes on at
   /// \p endpoints: a stage was replaced.
-  void Moved(TimePoint now, const std::string& id,
+  void Rerouted(TimePoint now, const std::string& id,
              const std::vector<routing::Endpoint>& endpoints);
 
   /// Notes the end of request \p id after \p output_tokens, and forgets it.
@@ -269,4 +269,4 @@
 
 }  // namespace toucanwharf::admission
 
-#endif  // TOUCANWHARF_ADMISSION_GATE_H_
+#endif  // TOUCANWHARF_ADMISSION_ADMISSION_CONTROLLER_H_
--- a/include/toucanwharf/attempts/arrival_budget.h
+++ b/include/toucanwharf/attempts/arrival_budget.h
@@ -71,7 +71,7 @@
   /// Returns who shares the budget, as last set.
   const BudgetSharers& Sharers() const { return this->sharers; }
   /// Returns how many more arrivals may be caused now, less than one for none.
-  double Left(const std::string& service, TimePoint now);
+  double Remaining(const std::string& service, TimePoint now);
   /// Returns whether one more arrival may be caused now.
   bool HasExtra(const std::string& service, TimePoint now);
   /// The same, and counts it if so.
--- a/include/toucanwharf/attempts/attempt_policy.h
+++ b/include/toucanwharf/attempts/attempt_policy.h
@@ -7,7 +7,7 @@
 namespace toucanwharf::attempts {
 
 /// How a try ended without an answer that can be handed on.
-enum class TryEnd {
+enum class AttemptOutcome {
   /// No byte was sent.
   kNotSent,
   /// The endpoint said that it did not run the request.
@@ -22,27 +22,27 @@
 /// What to do next.
 enum class NextStep {
   /// Send it to another endpoint.
-  kTryAgain,
+  kRetry,
   /// Refuse: it has not run and never will (I3).
   kRefuse,
   /// Say that its fate is not known.
-  kUnknownFate,
+  kUnknownOutcome,
   /// Hand on the endpoint's own failure.
   kRelayFailure,
   /// Break the connection: part of the answer is out already.
-  kBreakOff,
+  kAbort,
 };
 
 /// A request so far.
-struct Tries {
+struct AttemptCounts {
   /// Tries that may have run at an endpoint.
   int may_have_run = 0;
   /// Tries in all.
-  int made = 0;
+  int total = 0;
   /// Whether part of an answer was handed out.
-  bool answer_begun = false;
+  bool answer_started = false;
 
-  friend bool operator==(const Tries&, const Tries&) = default;
+  friend bool operator==(const AttemptCounts&, const AttemptCounts&) = default;
 };
 
 /// Tries that were surely not run don't count as runs, but each costs time and
@@ -54,12 +54,12 @@
 /// whether another arrival may be caused. A request that isn't idempotent and
 /// may have run is never sent again (I4), and is never called "not run" (I3).
 /// Thread safety: safe.
-NextStep After(const routes::Route& route, const Tries& tries, TryEnd end,
+NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end,
                bool budget_left);
 
-/// Returns whether After could say kTryAgain with a budget.
+/// Returns whether NextStepAfter could say kRetry with a budget.
 /// Thread safety: safe.
-bool MayTryAgain(const routes::Route& route, const Tries& tries, TryEnd end);
+bool MayRetry(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end);
 
 }  // namespace toucanwharf::attempts
 
--- a/include/toucanwharf/attempts/alarm_restraint.h
+++ b/include/toucanwharf/attempts/probe_backoff.h
@@ -1,12 +1,12 @@
-#ifndef TOUCANWHARF_ATTEMPTS_ALARM_RESTRAINT_H_
-#define TOUCANWHARF_ATTEMPTS_ALARM_RESTRAINT_H_
+#ifndef TOUCANWHARF_ATTEMPTS_PROBE_BACKOFF_H_
+#define TOUCANWHARF_ATTEMPTS_PROBE_BACKOFF_H_
 
 #include "toucanwharf/support/clock.h"
 
 namespace toucanwharf::attempts {
 
 /// Thresholds of the restraint.
-struct AlarmRestraintSettings {
+struct ProbeBackoffSettings {
   /// What a false alarm multiplies the patience by.
   double growth = 1.5;
   /// The most that patience is multiplied by.
@@ -16,8 +16,8 @@
   /// Answers that pause together are one alarm.
   Duration together = std::chrono::milliseconds(200);
 
-  friend bool operator==(const AlarmRestraintSettings&,
-                         const AlarmRestraintSettings&) = default;
+  friend bool operator==(const ProbeBackoffSettings&,
+                         const ProbeBackoffSettings&) = default;
 };
 
 /// Makes a router slower to ask engines whether they live after questions that
@@ -29,9 +29,9 @@
 /// router learns to wait; on a fleet whose answers flow evenly it goes on
 /// asking soon.
 /// Thread safety: none; for one thread.
-class AlarmRestraint {
+class ProbeBackoff {
  public:
-  explicit AlarmRestraint(const AlarmRestraintSettings& chosen = {})
+  explicit ProbeBackoff(const ProbeBackoffSettings& chosen = {})
       : settings(chosen) {}
 
   /// Notes that an answer whose engines were asked went on by itself.
@@ -40,7 +40,7 @@
   double Factor(TimePoint now) const;
 
  private:
-  AlarmRestraintSettings settings;
+  ProbeBackoffSettings settings;
   /// The factor right after the last false alarm.
   double factor = 1;
   TimePoint last_alarm;
@@ -48,4 +48,4 @@
 
 }  // namespace toucanwharf::attempts
 
-#endif  // TOUCANWHARF_ATTEMPTS_ALARM_RESTRAINT_H_
+#endif  // TOUCANWHARF_ATTEMPTS_PROBE_BACKOFF_H_
--- a/include/toucanwharf/attempts/event_pace.h
+++ b/include/toucanwharf/attempts/stall_detector.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_ATTEMPTS_EVENT_PACE_H_
-#define TOUCANWHARF_ATTEMPTS_EVENT_PACE_H_
+#ifndef TOUCANWHARF_ATTEMPTS_STALL_DETECTOR_H_
+#define TOUCANWHARF_ATTEMPTS_STALL_DETECTOR_H_
 
 #include <optional>
 
@@ -8,7 +8,7 @@
 namespace toucanwharf::attempts {
 
 /// Thresholds of an answer's silence.
-struct EventPaceSettings {
+struct StallDetectorSettings {
   /// Shorter silences are ordinary: an engine reads the prompt of another
   /// answer, or waits for its turn at the processor.
   Duration least = std::chrono::milliseconds(60);
@@ -22,8 +22,8 @@
   double gap_weight = 0.125;
   double deviation_weight = 0.25;
 
-  friend bool operator==(const EventPaceSettings&,
-                         const EventPaceSettings&) = default;
+  friend bool operator==(const StallDetectorSettings&,
+                         const StallDetectorSettings&) = default;
 };
 
 /// Decides after how long a silence the engines of a streamed answer are asked
@@ -35,10 +35,10 @@
 /// questions instead of requests, and on a calm day questions would outnumber
 /// requests; so an answer's own gaps count, and how much they vary.
 /// Thread safety: none; for one thread.
-class EventPace {
+class StallDetector {
  public:
   /// \p first_event is the time in which the first event is wanted.
-  explicit EventPace(Duration first_event, const EventPaceSettings& chosen = {})
+  explicit StallDetector(Duration first_event, const StallDetectorSettings& chosen = {})
       : settings(chosen), objective(first_event) {}
 
   /// Notes an event.
@@ -46,17 +46,17 @@
   /// Begins anew at another endpoint: what went before says nothing of it.
   void Restart();
   /// Returns the silence after which the engines are asked.
-  Duration Patience() const;
+  Duration StallTimeout() const;
   /// Returns the silence after which an answer through an engine that is taken
   /// as dead for other reasons is led around it.
-  Duration PatienceOnceSuspected() const;
+  Duration SuspectedStallTimeout() const;
   /// Returns the longest pause so far between two events.
   Duration LongestPause() const { return this->longest_pause; }
 
  private:
   void NoteGap(Duration gap);
 
-  EventPaceSettings settings;
+  StallDetectorSettings settings;
   Duration objective;
   std::optional<TimePoint> last_event;
   Duration usual_gap{0};
@@ -68,4 +68,4 @@
 
 }  // namespace toucanwharf::attempts
 
-#endif  // TOUCANWHARF_ATTEMPTS_EVENT_PACE_H_
+#endif  // TOUCANWHARF_ATTEMPTS_STALL_DETECTOR_H_
--- a/include/toucanwharf/daemon/answer_gate.h
+++ b/include/toucanwharf/daemon/answer_gate.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-#include "toucanwharf/admission/gate.h"
+#include "toucanwharf/admission/admission_controller.h"
 #include "toucanwharf/daemon/directory.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/pipeline/answer.h"
@@ -74,7 +74,7 @@
   using PoolKey = std::pair<std::string, std::string>;
   struct Pool {
     explicit Pool(std::uint64_t seed) : gate({}, seed) {}
-    admission::Gate gate;
+    admission::AdmissionController gate;
   };
   struct Held {
     PoolKey pool;
--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -13,7 +13,7 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/message.h"
 #include "toucanwharf/instance/settings.h"
-#include "toucanwharf/placement/order_book.h"
+#include "toucanwharf/placement/order_tracker.h"
 #include "toucanwharf/routes/configuration.h"
 #include "toucanwharf/store/object.h"
 #include "toucanwharf/support/result.h"
@@ -101,7 +101,7 @@
   { A::RepathRequest(repath) } -> std::same_as<http::Request>;
   { A::ToRepathFault(text) } -> std::same_as<std::string>;
   { A::PathText(repath.stages) } -> std::same_as<std::string>;
-  { A::ToOrderEnd(status) } -> std::same_as<placement::OrderEnd>;
+  { A::ToOrderEnd(status) } -> std::same_as<placement::OrderOutcome>;
   { A::IsReadyQuestion(target) } -> std::same_as<bool>;
   { A::ToEntryQuestion(target) } -> std::same_as<std::optional<EntryQuestion>>;
   { A::EntryAnswer(addresses, length) } -> std::same_as<std::string>;
--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "toucanwharf/attempts/alarm_restraint.h"
+#include "toucanwharf/attempts/probe_backoff.h"
 #include "toucanwharf/attempts/arrival_budget.h"
-#include "toucanwharf/attempts/start_wait.h"
+#include "toucanwharf/attempts/startup_wait.h"
 #include "toucanwharf/endpoints/doubt.h"
 #include "toucanwharf/eventlog/logger.h"
 #include "toucanwharf/http/client.h"
@@ -176,11 +176,11 @@
   EngineCalls calls;
   GatewayCounters counters;
   EngineProbe probe;
-  attempts::AlarmRestraint restraint;
+  attempts::ProbeBackoff restraint;
   std::function<void()> tell_silent;
   /// All requests under way.
   std::set<Passage*> passages;
-  attempts::StartWait start_wait;
+  attempts::StartupWait start_wait;
   std::vector<Early> early;
   std::deque<std::shared_ptr<Passage>> queue;
   http::TimerId queue_timer = 0;
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -20,8 +20,8 @@
 #include "toucanwharf/instance/beliefs.h"
 #include "toucanwharf/instance/peer_link.h"
 #include "toucanwharf/placement/layout.h"
-#include "toucanwharf/placement/order_book.h"
-#include "toucanwharf/placement/settling.h"
+#include "toucanwharf/placement/order_tracker.h"
+#include "toucanwharf/placement/stabilization_window.h"
 
 namespace toucanwharf::instance {
 
@@ -160,7 +160,7 @@
         eventlog::Fields().Count(
             "fence", static_cast<std::int64_t>(this->lease.Fence())),
         now);
-    this->book = placement::OrderBook();
+    this->book = placement::OrderTracker();
     this->engines.clear();
     this->plans.clear();
     this->peers.SetFacts({});
@@ -246,7 +246,7 @@
           fleet.push_back(std::move(one));
         });
     ServicePlan& plan = this->plans[service.name];
-    if (!plan.settling.Settled(fleet, now)) return;
+    if (!plan.settling.IsStable(fleet, now)) return;
     if (fleet == plan.planned_for) return;
     plan.planned_for = fleet;
     const auto layout =
@@ -264,7 +264,7 @@
     for (const auto& [name, each] : this->plans) {
       all.insert(each.layout.begin(), each.layout.end());
     }
-    this->book.Want(std::move(all));
+    this->book.SetTargetLayout(std::move(all));
   }
 
   /// Returns whether \p endpoint has not answered for some reports. Its entry
@@ -290,8 +290,8 @@
   void TakeNewest(const endpoints::Endpoint& endpoint,
                   placement::Accelerator& one) {
     this->KnowLifeOf(endpoint);
-    const auto wanted = this->book.Wanted().find(endpoint.id);
-    if (wanted != this->book.Wanted().end()) {
+    const auto wanted = this->book.TargetLayout().find(endpoint.id);
+    if (wanted != this->book.TargetLayout().end()) {
       one.layers = wanted->second;
       return;
     }
@@ -303,7 +303,7 @@
   struct ServicePlan {
     std::vector<placement::Accelerator> planned_for;
     placement::Layout layout;
-    placement::Settling settling;
+    placement::StabilizationWindow settling;
   };
 
   void AskReports(TimePoint now) {
@@ -381,7 +381,7 @@
   }
 
   void GiveOrders(TimePoint now) {
-    for (const auto& [id, layers] : this->book.Wanted()) {
+    for (const auto& [id, layers] : this->book.TargetLayout()) {
       const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
       if (endpoint == nullptr) continue;
       // Asked right before the send: a holder that was suspended must not act
@@ -413,14 +413,14 @@
 
   void OnOrderEnd(const std::string& id, const http::CallResult& result,
                   const http::ResponseHead& head) {
-    placement::OrderEnd end = placement::OrderEnd::kUnknown;
+    placement::OrderOutcome end = placement::OrderOutcome::kUnknown;
     if (result.end == http::CallEnd::kNotConnected) {
-      end = placement::OrderEnd::kRefused;
+      end = placement::OrderOutcome::kRefused;
     } else if (result.end == http::CallEnd::kComplete) {
       end = A::ToOrderEnd(head.status);
     }
-    this->book.OnEnd(id, end, this->loop.Now());
-    if (end == placement::OrderEnd::kAccepted) return;
+    this->book.OnOutcome(id, end, this->loop.Now());
+    if (end == placement::OrderOutcome::kAccepted) return;
     this->logger.Write(
         eventlog::Level::kNotable, "order_not_accepted",
         eventlog::Fields().Text("endpoint", id).Count("status", head.status),
@@ -456,7 +456,7 @@
   gossip::Candidacy candidacy;
   control::Lease lease;
   TimePoint lease_pause_until;
-  placement::OrderBook book;
+  placement::OrderTracker book;
   std::map<std::string, Known> engines;
   /// By service.
   std::map<std::string, ServicePlan> plans;
--- a/include/toucanwharf/placement/engine_model.h
+++ b/include/toucanwharf/placement/engine_model.h
@@ -49,8 +49,8 @@
   /// Requests that an endpoint takes as the first of a path.
   std::uint32_t slots = 0;
   /// Mean tokens of a prompt and of an answer.
-  double usual_prompt = 0;
-  double usual_answer = 0;
+  double mean_prompt_tokens = 0;
+  double mean_answer_tokens = 0;
   /// Time to load all layers, in seconds.
   double load_seconds = 0;
   /// Loads that run at full speed side by side.
--- a/include/toucanwharf/placement/order_book.h
+++ b/include/toucanwharf/placement/order_tracker.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_PLACEMENT_ORDER_BOOK_H_
-#define TOUCANWHARF_PLACEMENT_ORDER_BOOK_H_
+#ifndef TOUCANWHARF_PLACEMENT_ORDER_TRACKER_H_
+#define TOUCANWHARF_PLACEMENT_ORDER_TRACKER_H_
 
 #include <cstdint>
 #include <map>
@@ -38,7 +38,7 @@
 };
 
 /// How an order ended as far as is known.
-enum class OrderEnd {
+enum class OrderOutcome {
   /// Begun, or the state already held.
   kAccepted,
   /// Surely not begun.
@@ -57,11 +57,11 @@
 /// moved, the next order names the same count, and whichever of the two begins
 /// first makes the other void.
 /// Thread safety: none; for one thread.
-class OrderBook {
+class OrderTracker {
  public:
   /// Takes a new layout; engines that it doesn't name get no orders.
-  void Want(Layout layout) { this->wanted = std::move(layout); }
-  const Layout& Wanted() const { return this->wanted; }
+  void SetTargetLayout(Layout layout) { this->wanted = std::move(layout); }
+  const Layout& TargetLayout() const { return this->wanted; }
 
   /// Notes a report of \p engine that was asked for at \p asked.
   void OnReport(const std::string& engine, const EngineReport& report,
@@ -72,7 +72,7 @@
   /// Returns the order to send to \p engine now, if any, and takes it as sent.
   std::optional<PlaceOrder> Next(const std::string& engine, TimePoint now);
   /// Notes how the order that Next returned ended.
-  void OnEnd(const std::string& engine, OrderEnd end, TimePoint now);
+  void OnOutcome(const std::string& engine, OrderOutcome end, TimePoint now);
 
   /// Returns whether a report of \p engine is worth asking for: its state is
   /// not known, or not yet as wanted.
@@ -96,4 +96,4 @@
 
 }  // namespace toucanwharf::placement
 
-#endif  // TOUCANWHARF_PLACEMENT_ORDER_BOOK_H_
+#endif  // TOUCANWHARF_PLACEMENT_ORDER_TRACKER_H_
--- a/include/toucanwharf/placement/path_finder.h
+++ b/include/toucanwharf/placement/path_finder.h
@@ -35,7 +35,7 @@
 
 /// Returns the tokens times layers that an engine of \p kind has room for
 /// beside \p held layers; 0 when the layers don't fit.
-double TokenLayerRoom(const EngineModel& model, const AcceleratorKind& kind,
+double TokenLayerCapacity(const EngineModel& model, const AcceleratorKind& kind,
                       std::uint32_t held);
 
 /// One answer that needs a path.
@@ -68,7 +68,7 @@
   /// counted with all the tokens that it should come to, and holds about half
   /// of its output on average, so a little more than the room can be promised
   /// before an engine has to put one back.
-  double room_share = 1.05;
+  double capacity_share = 1.05;
   /// Added for each token at each crossing of a failure domain, beside the
   /// delay: the link between two is shared by all answers, and its use is paid
   /// for.
@@ -78,7 +78,7 @@
   std::size_t entry_choices = 0;
   /// Whether an engine whose room is taken counts as slower; otherwise the
   /// fastest engines are filled to the brim.
-  bool crowding_price = true;
+  bool price_congestion = true;
   /// Costs vary by this part up and down between choices. Several routers see
   /// the same lagging loads, and would all take the same path until the next
   /// report.
@@ -105,23 +105,23 @@
 inline constexpr std::size_t kEntryChoicesForResumed = 1;
 
 /// Part of an engine's room that may be promised in a large fleet, in place of
-/// PathSettings::room_share. What is known of loads there is up to a second old
+/// PathSettings::capacity_share. What is known of loads there is up to a second old
 /// either way, and engines that refuse for want of memory cost a caller less
 /// than room that lies idle.
-inline constexpr double kRoomShareInLargeFleet = 1.1;
+inline constexpr double kCapacityShareInLargeFleet = 1.1;
 
 /// Why there is no path.
-enum class PathLack {
+enum class NoPathReason {
   kNone,
   /// No engine holds some layer.
-  kLayers,
+  kMissingLayers,
   /// Paths exist, but none has room now.
-  kRoom,
+  kNoCapacity,
 };
 
 struct PathChoice {
   std::optional<Path> path;
-  PathLack lack = PathLack::kNone;
+  NoPathReason no_path_reason = NoPathReason::kNone;
 };
 
 /// Finds the path whose answer should be finished soonest and that has room.
--- a/include/toucanwharf/placement/settling.h
+++ b/include/toucanwharf/placement/stabilization_window.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_PLACEMENT_SETTLING_H_
-#define TOUCANWHARF_PLACEMENT_SETTLING_H_
+#ifndef TOUCANWHARF_PLACEMENT_STABILIZATION_WINDOW_H_
+#define TOUCANWHARF_PLACEMENT_STABILIZATION_WINDOW_H_
 
 #include <vector>
 
@@ -8,8 +8,8 @@
 
 namespace toucanwharf::placement {
 
-/// Times of Settling, with the reason of each.
-struct SettlingSettings {
+/// Times of StabilizationWindow, with the reason of each.
+struct StabilizationWindowSettings {
   /// Where some engine holds layers: a new leader takes over a running fleet,
   /// and reads its list anew about once in this time.
   Duration warm = std::chrono::milliseconds(700);
@@ -17,8 +17,8 @@
   /// engines registered in groups that were up to a second apart.
   Duration cold = std::chrono::milliseconds(2000);
 
-  friend bool operator==(const SettlingSettings&,
-                         const SettlingSettings&) = default;
+  friend bool operator==(const StabilizationWindowSettings&,
+                         const StabilizationWindowSettings&) = default;
 };
 
 /// Decides when the list of engines is whole enough for a first layout.
@@ -29,16 +29,16 @@
 /// lasts. It showed as a third of all requests turned away by four engines out
 /// of 93. The guard: the first layout waits until the list has stood still.
 /// Thread safety: none; for one thread.
-class Settling {
+class StabilizationWindow {
  public:
-  explicit Settling(const SettlingSettings& chosen = {}) : settings(chosen) {}
+  explicit StabilizationWindow(const StabilizationWindowSettings& chosen = {}) : settings(chosen) {}
 
   /// Takes the list as it is at \p now. Returns whether it may be planned for;
   /// once that is so it stays so.
-  bool Settled(const std::vector<Accelerator>& fleet, TimePoint now);
+  bool IsStable(const std::vector<Accelerator>& fleet, TimePoint now);
 
  private:
-  SettlingSettings settings;
+  StabilizationWindowSettings settings;
   bool settled = false;
   std::vector<Accelerator> seen;
   TimePoint seen_since;
@@ -46,4 +46,4 @@
 
 }  // namespace toucanwharf::placement
 
-#endif  // TOUCANWHARF_PLACEMENT_SETTLING_H_
+#endif  // TOUCANWHARF_PLACEMENT_STABILIZATION_WINDOW_H_
--- a/lib/admission/gate.cc
+++ b/lib/admission/admission_controller.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/admission/gate.h"
+#include "toucanwharf/admission/admission_controller.h"
 
 #include <algorithm>
 #include <cassert>
@@ -15,7 +15,7 @@
 /// Part of the allowed wait up to which a request is let in. Under lasting
 /// overload the queue stands at this bound; at the whole of it every error of
 /// the estimate makes requests lapse after they waited: 159 in a minute at
-/// three times the load, against none at this part (gate_test.cc).
+/// three times the load, against none at this part (admission_controller_test.cc).
 constexpr double kAdmitPart = 0.85;
 
 /// Part by which Retry-After is spread, so that callers refused together don't
@@ -49,7 +49,7 @@
   return "";
 }
 
-Gate::Gate(const GateSettings& settings, std::uint64_t seed)
+AdmissionController::AdmissionController(const AdmissionSettings& settings, std::uint64_t seed)
     : ejection(settings.ejection),
       choice(settings.draws),
       limiter(settings.limiter),
@@ -57,7 +57,7 @@
       retries(settings.retries),
       random(seed) {}
 
-routing::Endpoint Gate::AddEndpoint(TimePoint now, std::string_view id,
+routing::Endpoint AdmissionController::AddEndpoint(TimePoint now, std::string_view id,
                                     const routing::EndpointSpec& spec,
                                     bool fresh) {
   const routing::Endpoint endpoint = this->names.NumberOf(id);
@@ -78,7 +78,7 @@
   return endpoint;
 }
 
-void Gate::RemoveEndpoint(std::string_view id) {
+void AdmissionController::RemoveEndpoint(std::string_view id) {
   const routing::Endpoint endpoint = this->names.NumberOf(id);
   if (std::erase(this->members, endpoint) == 0) return;
   this->is_member[routing::IndexOf(endpoint)] = false;
@@ -87,7 +87,7 @@
   this->prefixes.Forget(endpoint);
 }
 
-void Gate::Report(std::string_view id, const routing::LoadReport& report) {
+void AdmissionController::Report(std::string_view id, const routing::LoadReport& report) {
   const routing::Endpoint endpoint = this->names.NumberOf(id);
   if (!this->IsMember(endpoint)) return;
   this->loads.Report(endpoint, report);
@@ -102,15 +102,15 @@
   this->limiter.Reported(endpoint, sample);
 }
 
-void Gate::CacheChanged(std::string_view id, const routing::CacheEvent& event) {
+void AdmissionController::CacheChanged(std::string_view id, const routing::CacheEvent& event) {
   this->prefixes.Apply(this->names.NumberOf(id), event);
 }
 
-void Gate::SetRouters(std::uint32_t routers) {
+void AdmissionController::SetRouters(std::uint32_t routers) {
   this->limiter.SetRouters(routers);
 }
 
-Offered Gate::Offer(TimePoint now, const Request& request) {
+OfferResult AdmissionController::Offer(TimePoint now, const Request& request) {
   assert(!this->requests.contains(request.id) && "ids are unique");
   const Ticket ticket = this->MakeTicket(now, request);
   const Duration allowed = this->queue.AllowedWait(now, ticket);
@@ -131,7 +131,7 @@
   return Waiting{wait.value_or(Duration{0})};
 }
 
-std::optional<Dispatch> Gate::Next(TimePoint now) {
+std::optional<Dispatch> AdmissionController::Next(TimePoint now) {
   return this->Next(now,
                     [this](const Request& request, const routing::Work& work)
                         -> std::optional<std::vector<routing::Endpoint>> {
@@ -143,7 +143,7 @@
                     });
 }
 
-void Gate::Progress(const std::string& id, double emitted) {
+void AdmissionController::Progress(const std::string& id, double emitted) {
   const auto found = this->requests.find(id);
   if (found == this->requests.end()) return;
   Known& known = found->second;
@@ -155,18 +155,18 @@
   known.charged = cost;
 }
 
-bool Gate::Failed(TimePoint now, routing::Endpoint endpoint) {
+bool AdmissionController::Failed(TimePoint now, routing::Endpoint endpoint) {
   if (!this->IsMember(endpoint)) return false;
   const bool ejected = this->ejection.Failed(now, endpoint);
   this->limiter.SetPart(endpoint, this->ejection.Ramp(now, endpoint));
   return ejected;
 }
 
-void Gate::EndpointFull(routing::Endpoint endpoint) {
+void AdmissionController::EndpointFull(routing::Endpoint endpoint) {
   if (this->IsMember(endpoint)) this->limiter.Refused(endpoint);
 }
 
-void Gate::Moved(TimePoint now, const std::string& id,
+void AdmissionController::Rerouted(TimePoint now, const std::string& id,
                  const std::vector<routing::Endpoint>& endpoints) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can move");
@@ -174,7 +174,7 @@
   this->Occupy(now, found->second, endpoints);
 }
 
-void Gate::Finished(TimePoint now, const std::string& id, Outcome outcome,
+void AdmissionController::Finished(TimePoint now, const std::string& id, Outcome outcome,
                     double output_tokens) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can finish");
@@ -189,7 +189,7 @@
   this->requests.erase(found);
 }
 
-bool Gate::Requeue(TimePoint now, const std::string& id, Outcome outcome,
+bool AdmissionController::Requeue(TimePoint now, const std::string& id, Outcome outcome,
                    TryOutcome before, bool idempotent) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can return");
@@ -202,13 +202,13 @@
   return true;
 }
 
-bool Gate::Cancel(TimePoint now, const std::string& id) {
+bool AdmissionController::Cancel(TimePoint now, const std::string& id) {
   if (!this->queue.Drop(now, id)) return false;
   this->requests.erase(id);
   return true;
 }
 
-std::vector<Refusal> Gate::Tick(TimePoint now) {
+std::vector<Refusal> AdmissionController::Tick(TimePoint now) {
   for (const routing::Endpoint endpoint : this->members) {
     this->limiter.SetPart(endpoint, this->ejection.Ramp(now, endpoint));
   }
@@ -224,7 +224,7 @@
   return refusals;
 }
 
-void Gate::TakePartOfPool() {
+void AdmissionController::TakePartOfPool() {
   // Until every other router was heard its use would be missing from the sum:
   // each router would hold itself entitled to all, and together they would
   // send the endpoints several times what these can run.
@@ -234,7 +234,7 @@
   if (part) this->limiter.SetPartOfPool(*part);
 }
 
-Duration Gate::RetryAfter(TimePoint now, std::string_view customer,
+Duration AdmissionController::RetryAfter(TimePoint now, std::string_view customer,
                           Duration allowed) {
   const CustomerNumber number = this->queue.SharesOf().NumberOf(customer);
   const Duration wait =
@@ -246,12 +246,12 @@
   return Scale(base, 1.0 + kRetryJitter * this->random.Unit());
 }
 
-const Ticket* Gate::NextTicket() const {
+const Ticket* AdmissionController::NextTicket() const {
   if (this->limiter.WithRoom().empty()) return nullptr;
   return this->queue.Front();
 }
 
-routing::Work Gate::WorkOf(const Request& request) const {
+routing::Work AdmissionController::WorkOf(const Request& request) const {
   routing::Work work;
   work.prompt_tokens = request.size.prompt_tokens;
   work.output_tokens =
@@ -259,7 +259,7 @@
   return work;
 }
 
-Ticket Gate::MakeTicket(TimePoint now, const Request& request) {
+Ticket AdmissionController::MakeTicket(TimePoint now, const Request& request) {
   Ticket ticket;
   ticket.id = request.id;
   ticket.customer = this->queue.SharesOf().NumberOf(request.customer);
@@ -273,7 +273,7 @@
   return ticket;
 }
 
-std::optional<Dispatch> Gate::HandOver(
+std::optional<Dispatch> AdmissionController::HandOver(
     TimePoint now, const std::string& id,
     const std::vector<routing::Endpoint>& endpoints,
     const routing::Work& work) {
@@ -290,7 +290,7 @@
   return Dispatch{known.ticket.id, endpoints, work};
 }
 
-void Gate::Occupy(TimePoint now, Known& known,
+void AdmissionController::Occupy(TimePoint now, Known& known,
                   const std::vector<routing::Endpoint>& endpoints) {
   known.endpoints.clear();
   for (const routing::Endpoint endpoint : endpoints) {
@@ -302,7 +302,7 @@
   }
 }
 
-void Gate::Release(TimePoint now, Known& known, Outcome outcome) {
+void AdmissionController::Release(TimePoint now, Known& known, Outcome outcome) {
   for (const routing::Endpoint endpoint : known.endpoints) {
     this->loads.Finished(now, endpoint, known.work);
     this->limiter.Finished(endpoint, known.work.KvTokens());
@@ -312,7 +312,7 @@
   known.endpoints.clear();
 }
 
-void Gate::Observe(TimePoint now, const Known& known, double output_tokens) {
+void AdmissionController::Observe(TimePoint now, const Known& known, double output_tokens) {
   routing::Work work = known.work;
   work.output_tokens = output_tokens;
   Duration expected{0};
@@ -325,12 +325,12 @@
   }
 }
 
-bool Gate::IsMember(routing::Endpoint endpoint) const {
+bool AdmissionController::IsMember(routing::Endpoint endpoint) const {
   const std::size_t index = routing::IndexOf(endpoint);
   return index < this->is_member.size() && this->is_member[index];
 }
 
-std::optional<routing::CachedAt> Gate::Cached(const Request& request) const {
+std::optional<routing::CachedAt> AdmissionController::Cached(const Request& request) const {
   if (request.prefixes.empty()) return std::nullopt;
   return this->prefixes.Find(
       request.prefixes,
--- a/lib/attempts/arrival_budget.cc
+++ b/lib/attempts/arrival_budget.cc
@@ -38,7 +38,7 @@
   return std::min(used, this->settings.first_share / part);
 }
 
-double ArrivalBudget::Left(const std::string& service, TimePoint now) {
+double ArrivalBudget::Remaining(const std::string& service, TimePoint now) {
   this->Current(service, now);
   double requests = 0;
   double extras = 0;
@@ -56,7 +56,7 @@
 }
 
 bool ArrivalBudget::HasExtra(const std::string& service, TimePoint now) {
-  return this->Left(service, now) >= 1;
+  return this->Remaining(service, now) >= 1;
 }
 
 bool ArrivalBudget::TakeExtra(const std::string& service, TimePoint now) {
--- a/lib/attempts/alarm_restraint.cc
+++ b/lib/attempts/probe_backoff.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/attempts/alarm_restraint.h"
+#include "toucanwharf/attempts/probe_backoff.h"
 
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void AlarmRestraint::OnFalseAlarm(TimePoint now) {
+void ProbeBackoff::OnFalseAlarm(TimePoint now) {
   const bool first = this->factor <= 1;
   if (!first && now - this->last_alarm < this->settings.together) return;
   this->factor =
@@ -17,7 +17,7 @@
   this->last_alarm = now;
 }
 
-double AlarmRestraint::Factor(TimePoint now) const {
+double ProbeBackoff::Factor(TimePoint now) const {
   const double seconds =
       static_cast<double>((now - this->last_alarm).count()) / kMicrosPerSecond;
   return std::max(1.0,
--- a/lib/attempts/event_pace.cc
+++ b/lib/attempts/stall_detector.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/attempts/event_pace.h"
+#include "toucanwharf/attempts/stall_detector.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void EventPace::OnEvent(TimePoint now) {
+void StallDetector::OnEvent(TimePoint now) {
   if (this->last_event_of_all) {
     this->longest_pause =
         std::max(this->longest_pause, now - *this->last_event_of_all);
@@ -26,7 +26,7 @@
   this->last_event = now;
 }
 
-void EventPace::NoteGap(Duration gap) {
+void StallDetector::NoteGap(Duration gap) {
   if (this->usual_gap == Duration(0)) {
     this->usual_gap = gap;
     this->mean_deviation = gap / 2;
@@ -38,13 +38,13 @@
   this->usual_gap = Mix(gap, this->usual_gap, this->settings.gap_weight);
 }
 
-void EventPace::Restart() {
+void StallDetector::Restart() {
   this->last_event.reset();
   this->usual_gap = Duration(0);
   this->mean_deviation = Duration(0);
 }
 
-Duration EventPace::Patience() const {
+Duration StallDetector::StallTimeout() const {
   if (!this->last_event) {
     return Part(this->objective, this->settings.objective_share);
   }
@@ -53,10 +53,10 @@
       this->usual_gap + Part(this->mean_deviation, this->settings.deviations));
 }
 
-Duration EventPace::PatienceOnceSuspected() const {
+Duration StallDetector::SuspectedStallTimeout() const {
   // With another sign of the engine's death half the silence is enough; an
   // answer that has begun nothing yet has no pace that could contradict.
-  return std::min(this->Patience(), this->settings.least) / 2;
+  return std::min(this->StallTimeout(), this->settings.least) / 2;
 }
 
 }  // namespace toucanwharf::attempts
--- a/lib/attempts/start_wait.cc
+++ b/lib/attempts/startup_wait.cc
@@ -1,9 +1,9 @@
-#include "toucanwharf/attempts/start_wait.h"
+#include "toucanwharf/attempts/startup_wait.h"
 
 namespace toucanwharf::attempts {
 
-bool StartWait::Enter(std::size_t bytes, TimePoint now) {
-  if (this->Over(now)) return false;
+bool StartupWait::Enter(std::size_t bytes, TimePoint now) {
+  if (this->Expired(now)) return false;
   if (this->waiting_bytes + bytes > this->settings.most_bytes) return false;
   this->waiting_bytes += bytes;
   return true;
--- a/lib/daemon/answer_gate.cc
+++ b/lib/daemon/answer_gate.cc
@@ -43,7 +43,7 @@
 /// Score for the planner: the wait at an endpoint, corrected by this router's
 /// own work; nothing for one that must not get work.
 struct CorrectedWait {
-  const admission::Gate* gate = nullptr;
+  const admission::AdmissionController* gate = nullptr;
   routing::EndpointNames* names = nullptr;
   TimePoint now;
   routing::Work work;
@@ -139,15 +139,15 @@
   if (held == this->offers.end() || held->second.waiting) return;
   if (held->second.plan == plan) return;
   held->second.plan = plan;
-  admission::Gate& gate = this->PoolOf(held->second.pool).gate;
-  gate.Moved(this->loop.Now(), id, StagesOf(gate.Names(), plan));
+  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
+  gate.Rerouted(this->loop.Now(), id, StagesOf(gate.Names(), plan));
 }
 
 void AnswerGate::EndpointFull(const std::string& id,
                               const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
-  admission::Gate& gate = this->PoolOf(held->second.pool).gate;
+  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
   gate.EndpointFull(gate.Names().NumberOf(endpoint));
 }
 
@@ -155,7 +155,7 @@
                                 const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
-  admission::Gate& gate = this->PoolOf(held->second.pool).gate;
+  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
   const bool ejected =
       gate.Failed(this->loop.Now(), gate.Names().NumberOf(endpoint));
   if (ejected) this->metrics.Count("toucanwharf_ejections_total");
@@ -245,7 +245,7 @@
 }
 
 void AnswerGate::Pump(const PoolKey& key) {
-  admission::Gate& gate = this->PoolOf(key).gate;
+  admission::AdmissionController& gate = this->PoolOf(key).gate;
   std::optional<pipeline::Plan> plan;
   const auto planner = [&](const admission::Request& wanted,
                            const routing::Work& work) -> std::optional<Stages> {
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -89,7 +89,7 @@
 
 void Gateway::TakeEarly() {
   const TimePoint now = this->loop.Now();
-  if (!this->beliefs.KnowEnough(now) && !this->start_wait.Over(now)) {
+  if (!this->beliefs.KnowEnough(now) && !this->start_wait.Expired(now)) {
     this->loop.After(kEarlyLook, [this] { this->TakeEarly(); });
     return;
   }
--- a/lib/instance/passage.cc
+++ b/lib/instance/passage.cc
@@ -10,7 +10,7 @@
 namespace {
 
 using attempts::NextStep;
-using attempts::TryEnd;
+using attempts::AttemptOutcome;
 using eventlog::Fields;
 using eventlog::Level;
 
@@ -96,7 +96,7 @@
 }
 
 bool Passage::MayQueue() const {
-  if (!this->IsModel() || this->lack != placement::PathLack::kRoom ||
+  if (!this->IsModel() || this->lack != placement::NoPathReason::kNoCapacity ||
       !this->gateway.settings.mechanisms.room_queue) {
     return false;
   }
@@ -121,13 +121,13 @@
   // Whoever came first is served first.
   const bool behind = this->IsModel() && !this->gateway.queue.empty();
   const auto chosen = behind ? std::nullopt : this->Choose();
-  if (behind) this->lack = placement::PathLack::kRoom;
+  if (behind) this->lack = placement::NoPathReason::kNoCapacity;
   if (!chosen && this->MayQueue()) {
     this->gateway.Enqueue(this->shared_from_this());
     return;
   }
   if (!chosen) {
-    this->Refuse(this->lack == placement::PathLack::kRoom ? "no_room"
+    this->Refuse(this->lack == placement::NoPathReason::kNoCapacity ? "no_room"
                                                           : "no_endpoint");
     return;
   }
@@ -136,7 +136,7 @@
 
 void Passage::Send(const Target& to) {
   this->target = to;
-  ++this->tries.made;
+  ++this->tries.total;
   ++this->tries.may_have_run;
   this->has_head = false;
   this->head_good = false;
@@ -166,7 +166,7 @@
   this->Log(Level::kRoutine, "sent",
             Fields()
                 .Text("endpoint", to.endpoint)
-                .Count("try", this->tries.made)
+                .Count("try", this->tries.total)
                 .Count("stages", static_cast<std::int64_t>(to.stages.size())));
   this->WatchSilence(this->Patience());
 }
@@ -186,18 +186,18 @@
   const bool nameless = !id && IsSuccess(answer.status);
   if (others || nameless) {
     // A late answer to another request came where this one's was due.
-    this->EndTry(TryEnd::kUnknown, "answer_of_another_request");
+    this->EndTry(AttemptOutcome::kUnknown, "answer_of_another_request");
     return;
   }
   const bool not_run = answer.headers.Find(names.not_run).has_value() ||
                        answer.status == http::kMisdirected;
   if (not_run) {
-    this->head_verdict = TryEnd::kNotRun;
+    this->head_verdict = AttemptOutcome::kNotRun;
     return;
   }
   if (!IsSuccess(answer.status)) {
     if (answer.status >= http::kServerError) {
-      this->head_verdict = TryEnd::kFailed;
+      this->head_verdict = AttemptOutcome::kFailed;
     }
     return;
   }
@@ -206,8 +206,8 @@
 }
 
 void Passage::BeginStream(const http::ResponseHead& answer) {
-  if (this->tries.answer_begun) return;
-  this->tries.answer_begun = true;
+  if (this->tries.answer_started) return;
+  this->tries.answer_started = true;
   http::ResponseHead out;
   out.status = answer.status;
   out.reason = answer.reason;
@@ -221,13 +221,13 @@
   if (!this->head_good || !this->IsStream()) {
     this->body.append(bytes);
     if (this->body.size() > kMostHeldBack && this->head_good &&
-        !this->tries.answer_begun) {
+        !this->tries.answer_started) {
       http::ResponseHead out = this->head;
       out.headers = http::EndToEnd(this->head.headers);
-      this->tries.answer_begun = true;
+      this->tries.answer_started = true;
       this->exchange->Begin(out);
     }
-    if (this->tries.answer_begun) {
+    if (this->tries.answer_started) {
       this->exchange->Write(this->body);
       this->body.clear();
     }
@@ -255,25 +255,25 @@
   if (result.end == http::CallEnd::kNotConnected) {
     this->gateway.beliefs.loads.Suspect(
         this->target.endpoint, this->gateway.loop.Now() + kUnreachableFor);
-    this->EndTry(TryEnd::kNotSent, "not_connected");
+    this->EndTry(AttemptOutcome::kNotSent, "not_connected");
     return;
   }
   if (result.end != http::CallEnd::kComplete) {
-    this->EndTry(result.sent ? TryEnd::kUnknown : TryEnd::kNotSent, "broken");
+    this->EndTry(result.sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent, "broken");
     return;
   }
   if (this->head_verdict) {
-    this->EndTry(*this->head_verdict, *this->head_verdict == TryEnd::kNotRun
+    this->EndTry(*this->head_verdict, *this->head_verdict == AttemptOutcome::kNotRun
                                           ? "refused_by_endpoint"
                                           : "failed_at_endpoint");
     return;
   }
-  if (!this->tries.answer_begun) {
+  if (!this->tries.answer_started) {
     this->FinishPlain();
     return;
   }
   if (this->IsStream() && this->events.HasPart()) {
-    this->EndTry(TryEnd::kUnknown, "ended_inside_event");
+    this->EndTry(AttemptOutcome::kUnknown, "ended_inside_event");
     return;
   }
   this->exchange->End();
@@ -297,16 +297,16 @@
 }
 
 /// Returns where to try again, if that is allowed and there is such a place.
-std::optional<Passage::Target> Passage::ChooseAgain(TryEnd end) {
+std::optional<Passage::Target> Passage::ChooseAgain(AttemptOutcome end) {
   const TimePoint now = this->gateway.loop.Now();
   if (now >= this->what.deadline) return std::nullopt;
-  if (!attempts::MayTryAgain(*this->what.route, this->tries, end)) {
+  if (!attempts::MayRetry(*this->what.route, this->tries, end)) {
     return std::nullopt;
   }
   auto next = this->Choose();
   if (!next) return std::nullopt;
   // A connection that never was caused no arrival.
-  if (end == TryEnd::kNotSent) return next;
+  if (end == AttemptOutcome::kNotSent) return next;
   const bool granted =
       this->gateway.budget.TakeExtra(this->what.service->name, now);
   ++(granted ? this->gateway.counters.extra_arrivals
@@ -325,7 +325,7 @@
   const placement::Engine engine =
       beliefs.loads.ToEngine(*endpoint, this->gateway.loop.Now());
   const double room =
-      placement::TokenLayerRoom(model, *kind, engine.layers.Count());
+      placement::TokenLayerCapacity(model, *kind, engine.layers.Count());
   return room > 0 ? engine.token_layers / room : 1;
 }
 
@@ -336,15 +336,15 @@
 }
 
 /// Ends the try under way and goes on with what the policy says.
-void Passage::EndTry(TryEnd end, std::string_view why) {
+void Passage::EndTry(AttemptOutcome end, std::string_view why) {
   this->CancelCall();
   this->ReleaseLoad();
   const TimePoint now = this->gateway.loop.Now();
   this->excluded.insert(this->target.endpoint);
   Fields fields;
-  const bool surely_not = end == TryEnd::kNotSent || end == TryEnd::kNotRun;
+  const bool surely_not = end == AttemptOutcome::kNotSent || end == AttemptOutcome::kNotRun;
   if (surely_not) --this->tries.may_have_run;
-  if (end == TryEnd::kNotRun) {
+  if (end == AttemptOutcome::kNotRun) {
     const std::string_view fault =
         this->head.headers.Get(this->gateway.names.at_fault);
     for (const pipeline::Stage& stage : this->target.stages) {
@@ -367,37 +367,37 @@
       .Millis("took_ms", now - this->try_began)
       .Count("retries_left",
              static_cast<std::int64_t>(
-                 this->gateway.budget.Left(this->what.service->name, now)))
+                 this->gateway.budget.Remaining(this->what.service->name, now)))
       .Count("budget_shared_by", static_cast<std::int64_t>(
                                      this->gateway.budget.Sharers().instances));
   this->Log(Level::kNotable, "try_ended", fields);
   this->Proceed(end, why);
 }
 
-void Passage::Proceed(TryEnd end, std::string_view why) {
+void Passage::Proceed(AttemptOutcome end, std::string_view why) {
   if (this->abandoned) {
     this->Finish("left_by_caller", 0);
     return;
   }
   const auto next = this->ChooseAgain(end);
   switch (
-      attempts::After(*this->what.route, this->tries, end, next.has_value())) {
-    case NextStep::kTryAgain:
-      ++(this->tries.answer_begun ? this->gateway.counters.resumed
+      attempts::NextStepAfter(*this->what.route, this->tries, end, next.has_value())) {
+    case NextStep::kRetry:
+      ++(this->tries.answer_started ? this->gateway.counters.resumed
                                   : this->gateway.counters.tried_again);
       this->Send(*next);
       return;
     case NextStep::kRefuse:
       this->Refuse(why);
       return;
-    case NextStep::kUnknownFate:
+    case NextStep::kUnknownOutcome:
       this->Fail(http::kBadGateway, why);
       return;
     case NextStep::kRelayFailure:
       this->FinishPlain();
       return;
-    case NextStep::kBreakOff:
-      if (attempts::MayTryAgain(*this->what.route, this->tries, end)) {
+    case NextStep::kAbort:
+      if (attempts::MayRetry(*this->what.route, this->tries, end)) {
         this->AwaitPlace(end, why);
         return;
       }
@@ -411,7 +411,7 @@
 void Passage::OnDeadline() {
   if (this->finished) return;
   ++this->gateway.counters.timed_out;
-  if (this->tries.answer_begun) {
+  if (this->tries.answer_started) {
     this->exchange->Abort();
     this->Finish("deadline_in_answer", 0);
     return;
@@ -433,7 +433,7 @@
 }
 
 void Passage::Refuse(std::string_view why) {
-  if (this->tries.answer_begun) {
+  if (this->tries.answer_started) {
     ++this->gateway.counters.broken_off;
     this->exchange->Abort();
     this->Finish("broken_off", 0);
@@ -443,7 +443,7 @@
     this->Fail(http::kBadGateway, why);
     return;
   }
-  const Duration wait = this->lack == placement::PathLack::kLayers
+  const Duration wait = this->lack == placement::NoPathReason::kMissingLayers
                             ? kRetryForLayers
                             : kRetryForRoom;
   this->gateway.Refuse(*this->exchange, http::kUnavailable, wait, why);
@@ -476,7 +476,7 @@
       Fields()
           .Text("outcome", outcome)
           .Count("status", status)
-          .Count("tries", this->tries.made)
+          .Count("tries", this->tries.total)
           .Text("endpoint", this->target.endpoint)
           .Count("stages",
                  static_cast<std::int64_t>(this->target.stages.size()))
--- a/lib/instance/passage.h
+++ b/lib/instance/passage.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "toucanwharf/attempts/attempt_policy.h"
-#include "toucanwharf/attempts/event_pace.h"
+#include "toucanwharf/attempts/stall_detector.h"
 #include "toucanwharf/http/event_splitter.h"
 #include "toucanwharf/instance/gateway.h"
 #include "toucanwharf/placement/path_finder.h"
@@ -81,7 +81,7 @@
 
   void Try();
   std::optional<Target> Choose();
-  std::optional<Target> ChooseAgain(attempts::TryEnd end);
+  std::optional<Target> ChooseAgain(attempts::AttemptOutcome end);
   /// \p current is the path of an answer that is led around an engine, else
   /// empty.
   std::optional<Target> ChoosePath(const std::vector<pipeline::Stage>& current);
@@ -95,8 +95,8 @@
   void JudgeHead(const http::ResponseHead& head);
   void BeginStream(const http::ResponseHead& head);
   void FinishPlain();
-  void EndTry(attempts::TryEnd end, std::string_view why);
-  void Proceed(attempts::TryEnd end, std::string_view why);
+  void EndTry(attempts::AttemptOutcome end, std::string_view why);
+  void Proceed(attempts::AttemptOutcome end, std::string_view why);
 
   bool MayQueue() const;
   void WatchSilence(Duration delay);
@@ -119,7 +119,7 @@
   double RoomUsed(const std::string& id) const;
   /// Keeps new work from \p endpoint, which refused, \p full or not.
   void NoteRefusal(const std::string& endpoint, bool full);
-  void AwaitPlace(attempts::TryEnd end, std::string_view why);
+  void AwaitPlace(attempts::AttemptOutcome end, std::string_view why);
   void OnDeadline();
   void OnCallerGone();
 
@@ -138,7 +138,7 @@
   double prompt_tokens = 0;
   double output_tokens = 0;
 
-  attempts::Tries tries;
+  attempts::AttemptCounts tries;
   std::set<std::string> excluded;
   Target target;
   std::vector<gossip::EndpointLoad> counted;
@@ -153,7 +153,7 @@
   int asked_again = 0;
   /// Changes of path that were refused since the last event.
   int refused_changes = 0;
-  attempts::EventPace pace;
+  attempts::StallDetector pace;
   Duration first_event_after{0};
   TimePoint try_began;
   TimePoint last_data;
@@ -162,7 +162,7 @@
   bool has_head = false;
   /// The head is one that can be handed on.
   bool head_good = false;
-  std::optional<attempts::TryEnd> head_verdict;
+  std::optional<attempts::AttemptOutcome> head_verdict;
   std::string body;
   http::EventSplitter events;
   bool any_event = false;
@@ -171,7 +171,7 @@
   bool finished = false;
   /// The caller is gone, and the work goes on.
   bool abandoned = false;
-  placement::PathLack lack = placement::PathLack::kNone;
+  placement::NoPathReason lack = placement::NoPathReason::kNone;
 };
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/passage_silence.cc
+++ b/lib/instance/passage_silence.cc
@@ -7,7 +7,7 @@
 namespace toucanwharf::instance {
 namespace {
 
-using attempts::TryEnd;
+using attempts::AttemptOutcome;
 using eventlog::Fields;
 using eventlog::Level;
 
@@ -47,7 +47,7 @@
 /// Part of the answer is out, and nowhere is room for the rest of it yet. The
 /// caller waits for the next event anyway, so the answer is given up only when
 /// the caller would be gone.
-void Passage::AwaitPlace(TryEnd end, std::string_view why) {
+void Passage::AwaitPlace(AttemptOutcome end, std::string_view why) {
   const TimePoint now = this->gateway.loop.Now();
   if (now - this->last_data > kCallersPatience) {
     ++this->gateway.counters.broken_off;
@@ -65,8 +65,8 @@
 
 Duration Passage::Patience() const {
   if (!this->IsStream()) return kPlainSilence;
-  if (this->HasSilentEngine()) return this->pace.PatienceOnceSuspected();
-  const Duration usual = this->pace.Patience();
+  if (this->HasSilentEngine()) return this->pace.SuspectedStallTimeout();
+  const Duration usual = this->pace.StallTimeout();
   const double factor =
       this->gateway.restraint.Factor(this->gateway.loop.Now());
   const Duration restrained(
@@ -207,8 +207,8 @@
 }
 
 bool Passage::HasPlaceElsewhere() {
-  return attempts::MayTryAgain(*this->what.route, this->tries,
-                               TryEnd::kUnknown) &&
+  return attempts::MayRetry(*this->what.route, this->tries,
+                               AttemptOutcome::kUnknown) &&
          this->gateway.budget.HasExtra(this->what.service->name,
                                        this->gateway.loop.Now()) &&
          this->Choose().has_value();
@@ -221,7 +221,7 @@
     this->WatchSilence(kPlaceLook);
     return;
   }
-  this->EndTry(TryEnd::kUnknown, why);
+  this->EndTry(AttemptOutcome::kUnknown, why);
 }
 
 /// Leads the answer around the engines that are silent. The engines that stay
--- a/lib/instance/passage_target.cc
+++ b/lib/instance/passage_target.cc
@@ -32,21 +32,21 @@
   query.excluded = this->excluded;
   placement::PathSettings settings;
   const Mechanisms& mechanisms = this->gateway.settings.mechanisms;
-  settings.crowding_price = mechanisms.crowding_price;
+  settings.price_congestion = mechanisms.crowding_price;
   if (beliefs.peers.Large(now)) {
     if (mechanisms.entry_choices) {
       settings.entry_choices = placement::kEntryChoicesInLargeFleet;
     }
-    settings.room_share = placement::kRoomShareInLargeFleet;
+    settings.capacity_share = placement::kCapacityShareInLargeFleet;
   }
   // Answers that lost an engine come all at once and from all instances.
-  if (this->tries.answer_begun && mechanisms.spread_resumed) {
+  if (this->tries.answer_started && mechanisms.spread_resumed) {
     settings.entry_choices = placement::kEntryChoicesForResumed;
   }
   const placement::PathChoice choice =
       placement::FindPath(*this->what.service->engine, engines, query, settings,
                           this->gateway.random);
-  this->lack = choice.lack;
+  this->lack = choice.no_path_reason;
   if (!choice.path) return std::nullopt;
   const pipeline::Stage& first = choice.path->stages.front();
   return Target{first.endpoint, first.address, choice.path->stages,
--- a/lib/placement/layout.cc
+++ b/lib/placement/layout.cc
@@ -68,10 +68,10 @@
         LayersFor(this->model, kind, this->settings.wanted_answers);
     const double hop = each > 0 ? kHopMillis / each : kHopMillis;
     const double step = this->model.step_millis * kind.step_factor / layers;
-    const double read = this->model.usual_prompt /
+    const double read = this->model.mean_prompt_tokens /
                         this->model.prefill_tokens_per_milli *
                         kind.prefill_factor / layers;
-    return this->model.usual_answer * (step + hop) + read;
+    return this->model.mean_answer_tokens * (step + hop) + read;
   }
 
   /// Orders the kinds, the fastest first. Of kinds that are about as fast,
@@ -434,7 +434,7 @@
 
 std::uint32_t LayersFor(const EngineModel& model, const AcceleratorKind& kind,
                         double answers) {
-  const double tokens = answers * (model.usual_prompt + model.usual_answer);
+  const double tokens = answers * (model.mean_prompt_tokens + model.mean_answer_tokens);
   const double token_layer_mb = model.token_mb / model.layers;
   const double per_layer = model.layer_mb + tokens * token_layer_mb;
   if (per_layer <= 0) return 0;
--- a/lib/placement/order_book.cc
+++ b/lib/placement/order_tracker.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/placement/order_book.h"
+#include "toucanwharf/placement/order_tracker.h"
 
 namespace toucanwharf::placement {
 namespace {
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void OrderBook::OnReport(const std::string& engine, const EngineReport& report,
+void OrderTracker::OnReport(const std::string& engine, const EngineReport& report,
                          TimePoint asked) {
   Entry& entry = this->entries[engine];
   if (entry.sending || asked < entry.settled_after) return;
@@ -17,7 +17,7 @@
   entry.known = true;
 }
 
-std::optional<PlaceOrder> OrderBook::Next(const std::string& engine,
+std::optional<PlaceOrder> OrderTracker::Next(const std::string& engine,
                                           TimePoint now) {
   const auto wanted_layers = this->wanted.find(engine);
   const auto found = this->entries.find(engine);
@@ -32,17 +32,17 @@
   return PlaceOrder{engine, wanted_layers->second, entry.report.sequence};
 }
 
-void OrderBook::OnEnd(const std::string& engine, OrderEnd end, TimePoint now) {
+void OrderTracker::OnOutcome(const std::string& engine, OrderOutcome end, TimePoint now) {
   const auto found = this->entries.find(engine);
   if (found == this->entries.end()) return;
   Entry& entry = found->second;
   entry.sending = false;
   entry.settled_after = now + kReportLag;
   entry.known = false;
-  if (end == OrderEnd::kAccepted) entry.report.busy = true;
+  if (end == OrderOutcome::kAccepted) entry.report.busy = true;
 }
 
-bool OrderBook::NeedsReport(const std::string& engine) const {
+bool OrderTracker::NeedsReport(const std::string& engine) const {
   const auto wanted_layers = this->wanted.find(engine);
   if (wanted_layers == this->wanted.end()) return false;
   const auto found = this->entries.find(engine);
@@ -51,7 +51,7 @@
          found->second.report.layers != wanted_layers->second;
 }
 
-const EngineReport* OrderBook::Report(const std::string& engine) const {
+const EngineReport* OrderTracker::Report(const std::string& engine) const {
   const auto found = this->entries.find(engine);
   if (found == this->entries.end()) return nullptr;
   return &found->second.report;
--- a/lib/placement/path_finder.cc
+++ b/lib/placement/path_finder.cc
@@ -154,8 +154,8 @@
                          this->model.prefill_tokens_per_milli *
                          kind.prefill_factor * engine.slowdown / layers;
     rate.whole_room =
-        std::max(1.0, TokenLayerRoom(this->model, kind, engine.layers.Count()) *
-                          this->settings.room_share);
+        std::max(1.0, TokenLayerCapacity(this->model, kind, engine.layers.Count()) *
+                          this->settings.capacity_share);
     // What the answer itself takes up there is free for it.
     rate.room = rate.whole_room - engine.token_layers +
                 this->Needed() * rate.held.Count();
@@ -221,7 +221,7 @@
       const bool stays = rate.held == LayerRange{begin, *end};
       const double read_millis = stays ? 0 : rate.prompt_millis * layers;
       label.first_millis = from.first_millis + hop + read_millis;
-      const double crowding = this->settings.crowding_price
+      const double crowding = this->settings.price_congestion
                                   ? Crowding(rate, this->Needed() * layers)
                                   : 1;
       label.cost = from.cost +
@@ -311,7 +311,7 @@
 
 }  // namespace
 
-double TokenLayerRoom(const EngineModel& model, const AcceleratorKind& kind,
+double TokenLayerCapacity(const EngineModel& model, const AcceleratorKind& kind,
                       std::uint32_t held) {
   const double left = kind.memory_mb - model.layer_mb * held;
   if (left <= 0 || model.token_mb <= 0) return 0;
@@ -323,7 +323,7 @@
                     const PathSettings& settings, Random& random) {
   PathChoice choice;
   if (model.layers == 0) {
-    choice.lack = PathLack::kLayers;
+    choice.no_path_reason = NoPathReason::kMissingLayers;
     return choice;
   }
   const auto search = [&](Scope scope) {
@@ -346,18 +346,18 @@
   if (choice.path) return choice;
   scope.need_room = false;
   const bool covered = search(scope).has_value();
-  choice.lack = covered ? PathLack::kRoom : PathLack::kLayers;
+  choice.no_path_reason = covered ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
   if (covered || goes_around) return choice;
   // No failure domain holds all layers by itself.
   scope.may_cross = true;
   scope.need_room = true;
   choice.path = search(scope);
   if (choice.path) {
-    choice.lack = PathLack::kNone;
+    choice.no_path_reason = NoPathReason::kNone;
     return choice;
   }
   scope.need_room = false;
-  choice.lack = search(scope).has_value() ? PathLack::kRoom : PathLack::kLayers;
+  choice.no_path_reason = search(scope).has_value() ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
   return choice;
 }
 
--- a/lib/placement/settling.cc
+++ b/lib/placement/stabilization_window.cc
@@ -1,10 +1,10 @@
-#include "toucanwharf/placement/settling.h"
+#include "toucanwharf/placement/stabilization_window.h"
 
 #include <algorithm>
 
 namespace toucanwharf::placement {
 
-bool Settling::Settled(const std::vector<Accelerator>& fleet, TimePoint now) {
+bool StabilizationWindow::IsStable(const std::vector<Accelerator>& fleet, TimePoint now) {
   if (this->settled) return true;
   if (fleet != this->seen) {
     this->seen = fleet;
--- a/unittests/adapter/adapter_test.cc
+++ b/unittests/adapter/adapter_test.cc
@@ -152,10 +152,10 @@
   BOOST_TEST(PlatformAdapter::PathText({{"i-1", "10.0.0.1:8", {0, 20}},
                                         {"i-2", "10.0.0.2:8", {20, 80}}}) ==
              "10.0.0.1:8=0-20,10.0.0.2:8=20-80");
-  using placement::OrderEnd;
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(202) == OrderEnd::kAccepted);
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(409) == OrderEnd::kRefused);
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(503) == OrderEnd::kUnknown);
+  using placement::OrderOutcome;
+  BOOST_CHECK(PlatformAdapter::ToOrderEnd(202) == OrderOutcome::kAccepted);
+  BOOST_CHECK(PlatformAdapter::ToOrderEnd(409) == OrderOutcome::kRefused);
+  BOOST_CHECK(PlatformAdapter::ToOrderEnd(503) == OrderOutcome::kUnknown);
 }
 
 BOOST_AUTO_TEST_CASE(EntryAnswerHasAddressesAndTime) {
--- a/unittests/admission/gate_test.cc
+++ b/unittests/admission/admission_controller_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/admission/gate.h"
+#include "toucanwharf/admission/admission_controller.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -37,7 +37,7 @@
 /// One gate before a few endpoints on virtual time.
 class Play {
  public:
-  explicit Play(int endpoints, const GateSettings& settings = {})
+  explicit Play(int endpoints, const AdmissionSettings& settings = {})
       : gate(settings, 17) {
     for (int at = 0; at < endpoints; ++at) {
       this->gate.AddEndpoint(TimePoint{}, "e" + std::to_string(at), kSpec,
@@ -61,7 +61,7 @@
   }
 
   Answers answers;
-  Gate gate;
+  AdmissionController gate;
   TimePoint now;
 
  private:
@@ -72,7 +72,7 @@
     request.size = {100, kOutput};
     request.deadline = this->now + seconds(4);
     this->arrived[request.id] = this->now;
-    const Offered offered = this->gate.Offer(this->now, request);
+    const OfferResult offered = this->gate.Offer(this->now, request);
     const auto* refusal = std::get_if<Refusal>(&offered);
     if (refusal == nullptr) return;
     ++this->answers.refused_at_once;
--- a/unittests/admission/shares_test.cc
+++ b/unittests/admission/shares_test.cc
@@ -90,8 +90,8 @@
     }
     const bool heard = gossip && !(silent_later && round >= 100);
     if (heard && round % 5 == 0) {
-      shares[0].Heard(now, "b", shares[1].Served());
-      shares[1].Heard(now, "a", shares[0].Served());
+      shares[0].MergePeerUsage(now, "b", shares[1].Served());
+      shares[1].MergePeerUsage(now, "a", shares[0].Served());
     }
     for (Shares& each : shares) each.Tick(now);
   }
@@ -123,9 +123,9 @@
   for (int answer = 0; answer < 100; ++answer) {
     now = now + milliseconds(500);
     peer.Charge(there, 100);
-    here.Heard(now, "p", peer.Served());
+    here.MergePeerUsage(now, "p", peer.Served());
     peer.Correct(there, -50);
-    here.Heard(now + milliseconds(1), "p", peer.Served());
+    here.MergePeerUsage(now + milliseconds(1), "p", peer.Served());
     here.Tick(now);
   }
   // Nothing is used here; all of the customer's use is remote.
@@ -148,8 +148,8 @@
       small.Charge(small.NumberOf(std::to_string(at)), 100);
     }
     large.Charge(large.NumberOf("large"), 1000);
-    small.Heard(now, "l", large.Served());
-    large.Heard(now, "s", small.Served());
+    small.MergePeerUsage(now, "l", large.Served());
+    large.MergePeerUsage(now, "s", small.Served());
     small.Tick(now);
     large.Tick(now);
   }
@@ -162,9 +162,9 @@
   Shares shares;
   const CustomerNumber customer = shares.NumberOf("c");
   const CustomerNumber other = shares.NumberOf("d");
-  shares.Heard(TimePoint{seconds(1)}, "p", Usage{{{"c", 100}}});
-  shares.Heard(TimePoint{seconds(2)}, "p", Usage{{{"c", 300}}});
-  shares.Heard(TimePoint{seconds(3)}, "p", Usage{{{"c", 300}}});
+  shares.MergePeerUsage(TimePoint{seconds(1)}, "p", Usage{{{"c", 100}}});
+  shares.MergePeerUsage(TimePoint{seconds(2)}, "p", Usage{{{"c", 300}}});
+  shares.MergePeerUsage(TimePoint{seconds(3)}, "p", Usage{{{"c", 300}}});
   shares.Activate(customer);
   shares.Activate(other);
   // Owes 200: the other gets two pieces of 100 first.
--- a/unittests/attempts/attempt_policy_test.cc
+++ b/unittests/attempts/attempt_policy_test.cc
@@ -17,9 +17,9 @@
   return route;
 }
 
-rc::Gen<TryEnd> AnyEnd() {
-  return rc::gen::element(TryEnd::kNotSent, TryEnd::kNotRun, TryEnd::kUnknown,
-                          TryEnd::kFailed);
+rc::Gen<AttemptOutcome> AnyEnd() {
+  return rc::gen::element(AttemptOutcome::kNotSent, AttemptOutcome::kNotRun, AttemptOutcome::kUnknown,
+                          AttemptOutcome::kFailed);
 }
 
 rc::Gen<RequestKind> AnyKind() {
@@ -30,19 +30,19 @@
 /// Plays a request to its end; \p step is told each try's end.
 struct Played {
   int may_have_run = 0;
-  NextStep last = NextStep::kTryAgain;
+  NextStep last = NextStep::kRetry;
 };
 
-Played Play(const routes::Route& route, const std::vector<TryEnd>& ends) {
+Played Play(const routes::Route& route, const std::vector<AttemptOutcome>& ends) {
   Played played;
-  Tries tries;
-  for (const TryEnd end : ends) {
-    ++tries.made;
-    const bool ran = end == TryEnd::kUnknown || end == TryEnd::kFailed;
+  AttemptCounts tries;
+  for (const AttemptOutcome end : ends) {
+    ++tries.total;
+    const bool ran = end == AttemptOutcome::kUnknown || end == AttemptOutcome::kFailed;
     if (ran) ++tries.may_have_run;
     played.may_have_run = tries.may_have_run;
-    played.last = After(route, tries, end, true);
-    if (played.last != NextStep::kTryAgain) return played;
+    played.last = NextStepAfter(route, tries, end, true);
+    if (played.last != NextStep::kRetry) return played;
   }
   return played;
 }
@@ -53,21 +53,21 @@
   const auto kind = *AnyKind();
   const bool resumable = *rc::gen::arbitrary<bool>();
   const auto route = MakeRoute(kind, resumable, *rc::gen::inRange(1, 4));
-  const auto ends = *rc::gen::container<std::vector<TryEnd>>(12, AnyEnd());
+  const auto ends = *rc::gen::container<std::vector<AttemptOutcome>>(12, AnyEnd());
   const Played played = Play(route, ends);
   if (!route.Repeatable()) RC_ASSERT(played.may_have_run <= 1);
   RC_ASSERT(played.may_have_run <= route.max_attempts);
-  RC_ASSERT(played.last != NextStep::kTryAgain);
+  RC_ASSERT(played.last != NextStep::kRetry);
   if (played.last == NextStep::kRefuse) RC_ASSERT(played.may_have_run == 0);
 }
 
 BOOST_AUTO_TEST_CASE(FailureOfLastTryIsHandedOn) {
   const auto route = MakeRoute(RequestKind::kIdempotent, false, 2);
-  BOOST_CHECK(After(route, {1, 1, false}, TryEnd::kFailed, true) ==
-              NextStep::kTryAgain);
-  BOOST_CHECK(After(route, {2, 2, false}, TryEnd::kFailed, true) ==
+  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed, true) ==
+              NextStep::kRetry);
+  BOOST_CHECK(NextStepAfter(route, {2, 2, false}, AttemptOutcome::kFailed, true) ==
               NextStep::kRelayFailure);
-  BOOST_CHECK(After(route, {1, 1, false}, TryEnd::kFailed, false) ==
+  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed, false) ==
               NextStep::kRelayFailure);
 }
 
@@ -75,13 +75,13 @@
 // that the part can't look whole (I2).
 BOOST_AUTO_TEST_CASE(BegunAnswerIsBrokenOff) {
   const auto route = MakeRoute(RequestKind::kStream, false, 2);
-  BOOST_CHECK(After(route, {1, 1, true}, TryEnd::kUnknown, true) ==
-              NextStep::kBreakOff);
+  BOOST_CHECK(NextStepAfter(route, {1, 1, true}, AttemptOutcome::kUnknown, true) ==
+              NextStep::kAbort);
   const auto resumable = MakeRoute(RequestKind::kStream, true, 2);
-  BOOST_CHECK(After(resumable, {1, 1, true}, TryEnd::kUnknown, true) ==
-              NextStep::kTryAgain);
-  BOOST_CHECK(After(resumable, {1, 1, true}, TryEnd::kUnknown, false) ==
-              NextStep::kBreakOff);
+  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown, true) ==
+              NextStep::kRetry);
+  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown, false) ==
+              NextStep::kAbort);
 }
 
 }  // namespace
--- a/unittests/attempts/alarm_restraint_test.cc
+++ b/unittests/attempts/probe_backoff_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/attempts/alarm_restraint.h"
+#include "toucanwharf/attempts/probe_backoff.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
 // a path's answers paused together about once a second. After some questions in
 // vain the router waits three times as long, and forgets it in a calm minute.
 BOOST_AUTO_TEST_CASE(QuestionsInVainMakeTheRouterWait) {
-  AlarmRestraint restraint;
+  ProbeBackoff restraint;
   BOOST_TEST(restraint.Factor(At(0)) == 1);
   for (int second = 1; second <= 5; ++second) {
     restraint.OnFalseAlarm(At(second * 1000));
@@ -23,7 +23,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(AnswersThatPauseTogetherAreOneAlarm) {
-  AlarmRestraint restraint;
+  ProbeBackoff restraint;
   for (int answer = 0; answer < 20; ++answer) {
     restraint.OnFalseAlarm(At(1000 + answer));
   }
--- a/unittests/attempts/start_wait_test.cc
+++ b/unittests/attempts/startup_wait_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/attempts/start_wait.h"
+#include "toucanwharf/attempts/startup_wait.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 // A fleet lost its power. Two hundred callers come back in the first moment;
 // all wait, and none after the store has had its time to answer.
 BOOST_AUTO_TEST_CASE(CallersOfTheFirstMomentWait) {
-  StartWait wait(At(1000));
+  StartupWait wait(At(1000));
   constexpr int kCallers = 200;
   constexpr std::size_t kBytes = 1500;
   for (int at = 0; at < kCallers; ++at) {
@@ -20,12 +20,12 @@
   }
   BOOST_TEST(wait.Enter(kBytes, At(1249)));
   BOOST_TEST(!wait.Enter(kBytes, At(1250)));
-  BOOST_TEST(wait.Over(At(1250)));
+  BOOST_TEST(wait.Expired(At(1250)));
 }
 
 // Requests with large bodies must not use up the memory of a small instance.
 BOOST_AUTO_TEST_CASE(WaitingBytesAreBounded) {
-  StartWait wait(At(0), {milliseconds(250), 1000});
+  StartupWait wait(At(0), {milliseconds(250), 1000});
   BOOST_TEST(wait.Enter(600, At(1)));
   BOOST_TEST(!wait.Enter(600, At(1)));
   wait.Leave(600);
--- a/unittests/placement/models.h
+++ b/unittests/placement/models.h
@@ -21,8 +21,8 @@
   model.step_millis_per_kilotoken = 0.00615;
   model.prefill_tokens_per_milli = 164;
   model.slots = 192;
-  model.usual_prompt = 775;
-  model.usual_answer = 220;
+  model.mean_prompt_tokens = 775;
+  model.mean_answer_tokens = 220;
   model.kinds = {{"large", 72000, 2.4, 3.2},
                  {"small", 14400, 5.3, 7.9},
                  {"slow", 21600, 16, 8.2}};
--- a/unittests/placement/order_book_test.cc
+++ b/unittests/placement/order_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/placement/order_book.h"
+#include "toucanwharf/placement/order_tracker.h"
 
 #include <rapidcheck/boost_test.h>
 
@@ -17,14 +17,14 @@
   return {{begin, end}, sequence, false, 1};
 }
 
-OrderBook Wanting(std::uint32_t begin, std::uint32_t end) {
-  OrderBook book;
-  book.Want({{"engine", {begin, end}}});
+OrderTracker Wanting(std::uint32_t begin, std::uint32_t end) {
+  OrderTracker book;
+  book.SetTargetLayout({{"engine", {begin, end}}});
   return book;
 }
 
 BOOST_AUTO_TEST_CASE(OrderNamesTheCountItIsGoodFor) {
-  OrderBook book = Wanting(0, 26);
+  OrderTracker book = Wanting(0, 26);
   BOOST_TEST(book.NeedsReport("engine"));
   BOOST_TEST(!book.Next("engine", At(0)).has_value());
   book.OnReport("engine", Report(0, 0, 3), At(0));
@@ -37,10 +37,10 @@
 // The answer to an order is lost. Until a report that was asked for later tells
 // how many orders the engine has begun, no other order is given.
 BOOST_AUTO_TEST_CASE(UnknownOrderIsReadBackFirst) {
-  OrderBook book = Wanting(0, 26);
+  OrderTracker book = Wanting(0, 26);
   book.OnReport("engine", Report(0, 0, 0), At(0));
   BOOST_REQUIRE(book.Next("engine", At(10)).has_value());
-  book.OnEnd("engine", OrderEnd::kUnknown, At(500));
+  book.OnOutcome("engine", OrderOutcome::kUnknown, At(500));
   BOOST_TEST(!book.Next("engine", At(510)).has_value());
   // Asked for before the order could show in a report.
   book.OnReport("engine", Report(0, 0, 0), At(600));
@@ -69,7 +69,7 @@
 // Whatever the order of events, the engine comes to hold what is wanted and
 // stays so.
 RC_BOOST_PROP(LateOrdersDoNotUndoNewerOnes, ()) {
-  OrderBook book;
+  OrderTracker book;
   LateEngine engine;
   TimePoint now = At(1000);
   pipeline::LayerRange wanted;
@@ -77,7 +77,7 @@
     now = now + milliseconds(600);
     if (*rc::gen::inRange(0, 4) == 0) {
       wanted = {0, *rc::gen::inRange<std::uint32_t>(1, 30)};
-      book.Want({{"engine", wanted}});
+      book.SetTargetLayout({{"engine", wanted}});
     }
     if (!engine.late.empty() && *rc::gen::arbitrary<bool>()) {
       engine.Take(engine.late.front());
@@ -88,10 +88,10 @@
     if (!order) continue;
     if (*rc::gen::arbitrary<bool>()) {
       engine.late.push_back(*order);
-      book.OnEnd("engine", OrderEnd::kUnknown, now);
+      book.OnOutcome("engine", OrderOutcome::kUnknown, now);
     } else {
-      book.OnEnd("engine",
-                 engine.Take(*order) ? OrderEnd::kAccepted : OrderEnd::kRefused,
+      book.OnOutcome("engine",
+                 engine.Take(*order) ? OrderOutcome::kAccepted : OrderOutcome::kRefused,
                  now);
     }
   }
@@ -102,7 +102,7 @@
     const auto order = book.Next("engine", now);
     if (!order) continue;
     engine.Take(*order);
-    book.OnEnd("engine", OrderEnd::kAccepted, now);
+    book.OnOutcome("engine", OrderOutcome::kAccepted, now);
   }
   RC_ASSERT(engine.layers == wanted);
 }
--- a/unittests/placement/path_finder_test.cc
+++ b/unittests/placement/path_finder_test.cc
@@ -63,12 +63,12 @@
       Idle(Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {})));
   Random random(1);
   for (Engine& engine : engines) engine.token_layers = 1e9;
-  BOOST_CHECK(FindPath(model, engines, Query(), {}, random).lack ==
-              PathLack::kRoom);
+  BOOST_CHECK(FindPath(model, engines, Query(), {}, random).no_path_reason ==
+              NoPathReason::kNoCapacity);
   std::erase_if(engines,
                 [](const Engine& engine) { return engine.layers.begin == 0; });
-  BOOST_CHECK(FindPath(model, engines, Query(), {}, random).lack ==
-              PathLack::kLayers);
+  BOOST_CHECK(FindPath(model, engines, Query(), {}, random).no_path_reason ==
+              NoPathReason::kMissingLayers);
 }
 
 // An answer goes around a dead engine: the first stage stays as it is, and the
@@ -156,7 +156,7 @@
   }
   double fullest = 0;
   for (const Engine& engine : view) {
-    const double room = TokenLayerRoom(model, *model.FindKind(engine.kind),
+    const double room = TokenLayerCapacity(model, *model.FindKind(engine.kind),
                                        engine.layers.Count());
     if (room > 0) fullest = std::max(fullest, given[engine.id] / room);
   }
@@ -218,8 +218,8 @@
                    {engines[1].id, engines[1].address, {20, 50}},
                    {engines[2].id, engines[2].address, {50, 80}}};
   engines[1].token_layers =
-      TokenLayerRoom(model, *model.FindKind("large"), 30) *
-      PathSettings().room_share;
+      TokenLayerCapacity(model, *model.FindKind("large"), 30) *
+      PathSettings().capacity_share;
   engines.erase(engines.begin() + 2);
   Random random(1);
   const auto choice = FindPath(model, engines, query, {}, random);
@@ -250,7 +250,7 @@
   Random random(1);
   const auto choice = FindPath(model, engines, Query(), {}, random);
   BOOST_TEST(!choice.path.has_value());
-  BOOST_CHECK(choice.lack == PathLack::kRoom);
+  BOOST_CHECK(choice.no_path_reason == NoPathReason::kNoCapacity);
 }
 
 // Where no domain holds all layers, a path over two is the only way to serve.
--- a/unittests/placement/settling_test.cc
+++ b/unittests/placement/stabilization_window_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/placement/settling.h"
+#include "toucanwharf/placement/stabilization_window.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -23,14 +23,14 @@
 // for as long as they lived.
 BOOST_AUTO_TEST_CASE(FirstLayoutWaitsForEnginesThatRegisterInGroups) {
   const auto fleet = GrownFleet();
-  Settling settling;
-  BOOST_TEST(!settling.Settled(FirstOf(fleet, 29), At(0)));
-  BOOST_TEST(!settling.Settled(FirstOf(fleet, 49), At(200)));
-  BOOST_TEST(!settling.Settled(FirstOf(fleet, 49), At(1100)));
-  BOOST_TEST(!settling.Settled(FirstOf(fleet, 77), At(1200)));
-  BOOST_TEST(!settling.Settled(FirstOf(fleet, 77), At(2100)));
-  BOOST_TEST(!settling.Settled(fleet, At(2200)));
-  BOOST_TEST(settling.Settled(fleet, At(4200)));
+  StabilizationWindow settling;
+  BOOST_TEST(!settling.IsStable(FirstOf(fleet, 29), At(0)));
+  BOOST_TEST(!settling.IsStable(FirstOf(fleet, 49), At(200)));
+  BOOST_TEST(!settling.IsStable(FirstOf(fleet, 49), At(1100)));
+  BOOST_TEST(!settling.IsStable(FirstOf(fleet, 77), At(1200)));
+  BOOST_TEST(!settling.IsStable(FirstOf(fleet, 77), At(2100)));
+  BOOST_TEST(!settling.IsStable(fleet, At(2200)));
+  BOOST_TEST(settling.IsStable(fleet, At(4200)));
 
   const EngineModel model = LargeModel();
   const LayoutSettings settings;
@@ -50,24 +50,24 @@
 BOOST_AUTO_TEST_CASE(RunningFleetIsPlannedForSoon) {
   auto fleet = GrownFleet();
   fleet.front().layers = {0, 26};
-  Settling settling;
-  BOOST_TEST(!settling.Settled(fleet, At(0)));
-  BOOST_TEST(settling.Settled(fleet, At(700)));
+  StabilizationWindow settling;
+  BOOST_TEST(!settling.IsStable(fleet, At(0)));
+  BOOST_TEST(settling.IsStable(fleet, At(700)));
 }
 
 // Engines come and go later on; each change is planned for at once.
 BOOST_AUTO_TEST_CASE(SettledStaysSettled) {
   const auto fleet = GrownFleet();
-  Settling settling;
-  settling.Settled(fleet, At(0));
-  BOOST_TEST(settling.Settled(fleet, At(2000)));
-  BOOST_TEST(settling.Settled(FirstOf(fleet, 40), At(2001)));
+  StabilizationWindow settling;
+  settling.IsStable(fleet, At(0));
+  BOOST_TEST(settling.IsStable(fleet, At(2000)));
+  BOOST_TEST(settling.IsStable(FirstOf(fleet, 40), At(2001)));
 }
 
 BOOST_AUTO_TEST_CASE(NoEnginesNeverSettle) {
-  Settling settling;
-  BOOST_TEST(!settling.Settled({}, At(0)));
-  BOOST_TEST(!settling.Settled({}, At(60000)));
+  StabilizationWindow settling;
+  BOOST_TEST(!settling.IsStable({}, At(0)));
+  BOOST_TEST(!settling.IsStable({}, At(60000)));
 }
 
 }  // namespace
