--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -13,7 +13,7 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/message.h"
 #include "toucanwharf/instance/settings.h"
-#include "toucanwharf/placement/order_book.h"
+#include "toucanwharf/placement/order_tracker.h"
 #include "toucanwharf/routes/configuration.h"
 #include "toucanwharf/store/object.h"
 #include "toucanwharf/support/result.h"
@@ -101,7 +101,7 @@
   { A::RerouteRequest(repath) } -> std::same_as<http::Request>;
   { A::ToRerouteFault(text) } -> std::same_as<std::string>;
   { A::PathText(repath.stages) } -> std::same_as<std::string>;
-  { A::ToOrderEnd(status) } -> std::same_as<placement::OrderEnd>;
+  { A::ToOrderEnd(status) } -> std::same_as<placement::OrderOutcome>;
   { A::IsReadinessRequest(target) } -> std::same_as<bool>;
   { A::ToEntryRequest(target) } -> std::same_as<std::optional<EntryRequest>>;
   { A::EntryResponse(addresses, length) } -> std::same_as<std::string>;
