--- a/include/toucanwharf/endpoints/endpoint_table.h
+++ b/include/toucanwharf/endpoints/endpoint_table.h
@@ -24,7 +24,7 @@
   std::string id;
   /// When it started, in milliseconds since 1970; the same id with another
   /// start knows nothing of before.
-  std::uint64_t born = 0;
+  std::uint64_t start_time_ms = 0;
   std::string service;
   /// "IP:PORT"; may have belonged to another endpoint before.
   std::string address;
@@ -48,17 +48,17 @@
 std::uint32_t EndpointKey(const Endpoint& endpoint);
 
 /// What one instance knows of the endpoints, for another.
-struct SharedList {
+struct EndpointListSnapshot {
   /// The store's list.
   std::vector<Endpoint> endpoints;
   /// Endpoints that are kept though the list lacks them.
-  std::vector<Endpoint> kept;
+  std::vector<Endpoint> retained;
   /// For how much longer.
-  Duration kept_for{0};
+  Duration retained_for{0};
   /// Store's revision of the list that last changed anything.
   std::uint64_t revision = 0;
 
-  friend bool operator==(const SharedList&, const SharedList&) = default;
+  friend bool operator==(const EndpointListSnapshot&, const EndpointListSnapshot&) = default;
 };
 
 /// The endpoints in use.
@@ -92,7 +92,7 @@
       : outage_grace(grace), shortest_outage(shortest) {}
 
   /// Notes that the store did not answer this instance.
-  void OnStoreAway(TimePoint now) { this->away_since = now; }
+  void OnStoreUnavailable(TimePoint now) { this->away_since = now; }
   /// Notes that the store answered a read that some instance began at \p read,
   /// whatever it showed.
   void OnStoreAnswered(TimePoint read, TimePoint now);
@@ -108,18 +108,18 @@
                TimePoint read, TimePoint now);
   /// The same for what a peer knows. Its grace period goes on here, unless one
   /// of this instance's own runs.
-  bool Adopt(SharedList list, TimePoint now);
+  bool Adopt(EndpointListSnapshot list, TimePoint now);
 
   /// Returns what is known, for a peer.
-  SharedList Share(TimePoint now) const;
+  EndpointListSnapshot Share(TimePoint now) const;
   /// Returns the newest moment at which what is known was proved current.
   std::optional<TimePoint> ConfirmedAt() const { return this->confirmed_at; }
   /// Returns the store's revision of the list, 0 before the first.
   std::uint64_t Revision() const { return this->last_revision; }
   /// Returns the revision of the list that last changed anything.
-  std::uint64_t ChangedAt() const { return this->changed_revision; }
+  std::uint64_t ChangedRevision() const { return this->changed_revision; }
   /// Returns how many endpoints are kept though the newest list lacks them.
-  std::size_t Kept() const { return this->kept.size(); }
+  std::size_t RetainedCount() const { return this->kept.size(); }
   /// Returns the endpoint \p id, or null.
   const Endpoint* Find(const std::string& id) const;
   /// Returns the endpoint whose EndpointKey is \p key, or null.
--- a/include/toucanwharf/endpoints/doubt.h
+++ b/include/toucanwharf/endpoints/liveness_evidence.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_ENDPOINTS_DOUBT_H_
-#define TOUCANWHARF_ENDPOINTS_DOUBT_H_
+#ifndef TOUCANWHARF_ENDPOINTS_LIVENESS_EVIDENCE_H_
+#define TOUCANWHARF_ENDPOINTS_LIVENESS_EVIDENCE_H_
 
 #include <vector>
 
@@ -9,11 +9,11 @@
 namespace toucanwharf::endpoints {
 
 /// What an answer under way shows of the engines that it runs through.
-struct AnswerSign {
+struct LivenessEvidence {
   std::vector<pipeline::Stage> stages;
   TimePoint last_event;
 
-  friend bool operator==(const AnswerSign&, const AnswerSign&) = default;
+  friend bool operator==(const LivenessEvidence&, const LivenessEvidence&) = default;
 };
 
 /// Returns the engines of \p stages that no answer of \p others shows alive: an
@@ -24,9 +24,9 @@
 /// ten questions an answer, and a lost packet on the way to a healthy one would
 /// make it look dead; those that other answers still pass need no question.
 /// Thread safety: safe.
-std::vector<pipeline::Stage> DoubtedEngines(
+std::vector<pipeline::Stage> EnginesWithoutEvidence(
     const std::vector<pipeline::Stage>& stages, TimePoint since,
-    const std::vector<AnswerSign>& others);
+    const std::vector<LivenessEvidence>& others);
 
 }  // namespace toucanwharf::endpoints
 
--- a/include/toucanwharf/endpoints/load_book.h
+++ b/include/toucanwharf/endpoints/load_tracker.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_ENDPOINTS_LOAD_BOOK_H_
-#define TOUCANWHARF_ENDPOINTS_LOAD_BOOK_H_
+#ifndef TOUCANWHARF_ENDPOINTS_LOAD_TRACKER_H_
+#define TOUCANWHARF_ENDPOINTS_LOAD_TRACKER_H_
 
 #include <map>
 #include <string>
@@ -15,19 +15,19 @@
 /// What is under way at each endpoint, which endpoints are suspected to be
 /// dead, and what engines last said of themselves.
 /// Thread safety: none; for one thread.
-class LoadBook {
+class LoadTracker {
  public:
   /// Counts \p load as under way.
-  void Began(const gossip::EndpointLoad& load);
-  /// Takes off what Began counted.
-  void Ended(const gossip::EndpointLoad& load);
+  void AddInFlight(const gossip::EndpointLoad& load);
+  /// Takes off what AddInFlight counted.
+  void RemoveInFlight(const gossip::EndpointLoad& load);
   /// Returns this instance's own loads, without the idle.
-  std::vector<gossip::EndpointLoad> Own() const;
+  std::vector<gossip::EndpointLoad> Local() const;
   /// Replaces what the other instances have under way.
-  void SetPeers(const std::vector<gossip::EndpointLoad>& loads);
+  void SetPeerLoads(const std::vector<gossip::EndpointLoad>& loads);
   /// The same, from what all instances together, this one included, have under
   /// way: the own part is taken off.
-  void SetFleet(const std::vector<gossip::EndpointLoad>& loads);
+  void SetFleetLoads(const std::vector<gossip::EndpointLoad>& loads);
   /// Returns what all instances together have under way, without the idle.
   std::vector<gossip::EndpointLoad> All() const;
   /// Returns what all instances together have under way at \p endpoint.
@@ -40,7 +40,7 @@
   /// on with what it last heard of their loads, from a calmer moment, and sends
   /// its requests to engines that are full. What callers send is spread over
   /// all instances alike, so its own part tells what the others' must be.
-  void AssumeAlike(std::size_t count) { this->unheard = count; }
+  void AssumeEqualPeerLoad(std::size_t count) { this->unheard = count; }
 
   /// Notes that \p endpoint refused a request, and keeps new work from it:
   /// for a moment and without telling the others if it is full, as far as is
@@ -54,17 +54,17 @@
   void OnRefusal(const std::string& endpoint, bool full, TimePoint now);
   /// Keeps new work from \p endpoint until \p until.
   void Suspect(const std::string& endpoint, TimePoint until);
-  bool Suspected(const std::string& endpoint, TimePoint now) const;
+  bool IsSuspected(const std::string& endpoint, TimePoint now) const;
   /// The same for an endpoint that answers nothing at all, as this instance has
   /// found, so that answers under way through it have stopped. Returns whether
   /// that is news.
-  bool FoundSilent(const std::string& endpoint, TimePoint until, TimePoint now);
+  bool MarkUnresponsive(const std::string& endpoint, TimePoint until, TimePoint now);
   /// The same by the word of another instance, which doesn't count beside an
   /// answer that this one got itself a moment ago.
-  bool HeardSilent(const std::string& endpoint, TimePoint until, TimePoint now);
-  bool Silent(const std::string& endpoint, TimePoint now) const;
+  bool MarkReportedUnresponsive(const std::string& endpoint, TimePoint until, TimePoint now);
+  bool IsUnresponsive(const std::string& endpoint, TimePoint now) const;
   /// Notes that \p endpoint has answered this instance.
-  void Answered(const std::string& endpoint, TimePoint now);
+  void OnResponse(const std::string& endpoint, TimePoint now);
   /// Returns the suspicions that still hold. Of silent endpoints those that
   /// this instance has found, or \p heard_too.
   ///
@@ -76,16 +76,16 @@
 
   /// Notes a report of an engine; it goes before the store's list until
   /// \p until.
-  void SetFact(const gossip::EngineFact& fact, TimePoint until);
+  void SetEngineStatus(const gossip::EngineStatus& fact, TimePoint until);
   /// Returns the report of \p endpoint that still counts, or null.
-  const gossip::EngineFact* Fact(const Endpoint& endpoint, TimePoint now) const;
+  const gossip::EngineStatus* FindEngineStatus(const Endpoint& endpoint, TimePoint now) const;
 
   /// Returns \p endpoint as the path finder sees it.
   placement::Engine ToEngine(const Endpoint& endpoint, TimePoint now) const;
 
  private:
   struct TimedFact {
-    gossip::EngineFact fact;
+    gossip::EngineStatus fact;
     TimePoint until;
   };
   struct Refusals {
--- a/include/toucanwharf/gossip/deputies.h
+++ b/include/toucanwharf/gossip/backup_leaders.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_GOSSIP_DEPUTIES_H_
-#define TOUCANWHARF_GOSSIP_DEPUTIES_H_
+#ifndef TOUCANWHARF_GOSSIP_BACKUP_LEADERS_H_
+#define TOUCANWHARF_GOSSIP_BACKUP_LEADERS_H_
 
 #include <cstddef>
 #include <string>
@@ -10,26 +10,26 @@
 
 namespace toucanwharf::gossip {
 
-/// So many deputies: one may fall together with the leader.
-inline constexpr std::size_t kDeputies = 2;
+/// So many backup leaders: one may fall together with the leader.
+inline constexpr std::size_t kBackupLeaders = 2;
 
-/// An instance that may be a deputy.
-struct DeputyCandidate {
+/// An instance that may be a backup leader.
+struct BackupLeaderCandidate {
   /// Where it takes datagrams.
   std::string address;
   std::string failure_domain;
   /// Part of a core that it may use.
   double processor_share = 0;
 
-  friend bool operator==(const DeputyCandidate&,
-                         const DeputyCandidate&) = default;
+  friend bool operator==(const BackupLeaderCandidate&,
+                         const BackupLeaderCandidate&) = default;
 };
 
-/// Returns the addresses of those of \p candidates that are deputies of a
+/// Returns the addresses of those of \p candidates that are backup leaders of a
 /// leader in the failure domain \p domain: the strongest, in other domains than
 /// its own and one another where there are such. All instances that know the
 /// same candidates choose the same. Thread safety: safe.
-std::vector<std::string> ChooseDeputies(std::vector<DeputyCandidate> candidates,
+std::vector<std::string> ChooseBackupLeaders(std::vector<BackupLeaderCandidate> candidates,
                                         const std::string& domain);
 
 /// The same, of the live peers.
@@ -37,17 +37,17 @@
 /// Load that it answers: when the leader of a large fleet dies, hundreds of
 /// instances lose their proofs of the configuration, their word of who lives
 /// and of all loads, for as long as the lease lasts, and each reads the store
-/// for itself meanwhile. All tell the deputies what they tell the leader, so
-/// that the deputies can tell everyone in its place. Thread safety: safe.
-std::vector<std::string> ChooseDeputies(const PeerTable& peers,
+/// for itself meanwhile. All tell the backup leaders what they tell the leader, so
+/// that the backup leaders can tell everyone in its place. Thread safety: safe.
+std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
                                         const std::string& domain,
                                         TimePoint now);
 
 /// Returns whether the instance whose datagram address is \p own acts for a
-/// leader that there isn't: it is the first of \p deputies that is heard of.
+/// leader that there isn't: it is the first of \p backup_leaders that is heard of.
 /// Thread safety: safe.
 bool ActsForLeader(const PeerTable& peers,
-                   const std::vector<std::string>& deputies,
+                   const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now);
 
 }  // namespace toucanwharf::gossip
--- a/include/toucanwharf/gossip/beacon.h
+++ b/include/toucanwharf/gossip/beacon.h
@@ -22,7 +22,7 @@
   /// Tokens times layers.
   double token_layers = 0;
   /// Answers whose path begins there.
-  double first_of = 0;
+  double first_stage_answers = 0;
 
   friend bool operator==(const EndpointLoad&, const EndpointLoad&) = default;
 };
@@ -34,7 +34,7 @@
   double answers = 0;
   /// In whole thousands.
   double token_layers = 0;
-  double first_of = 0;
+  double first_stage_answers = 0;
 
   friend bool operator==(const KeyedLoad&, const KeyedLoad&) = default;
 };
@@ -45,27 +45,27 @@
   std::string endpoint;
   Duration remaining{0};
   /// Whether it answers nothing at all; otherwise it refuses requests.
-  bool silent = false;
+  bool unresponsive = false;
 
   friend bool operator==(const Suspicion&, const Suspicion&) = default;
 };
 
 /// What the holder of the placement lease knows of an engine, from its own
 /// report: newer than what the store lists.
-struct EngineFact {
+struct EngineStatus {
   std::string endpoint;
-  std::uint64_t born = 0;
+  std::uint64_t start_time_ms = 0;
   pipeline::LayerRange layers;
   double slowdown = 1;
   /// Tokens times layers that its answers hold by its own word, whoever sent
   /// them; 0 where the instances' own counts are newer than its report.
   double token_layers = 0;
 
-  friend bool operator==(const EngineFact&, const EngineFact&) = default;
+  friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
 };
 
 /// The same as the leader tells it to all.
-struct KeyedFact {
+struct KeyedEngineStatus {
   std::uint32_t key = 0;
   pipeline::LayerRange layers;
   /// In whole hundredths.
@@ -73,7 +73,7 @@
   /// In whole thousands.
   double token_layers = 0;
 
-  friend bool operator==(const KeyedFact&, const KeyedFact&) = default;
+  friend bool operator==(const KeyedEngineStatus&, const KeyedEngineStatus&) = default;
 };
 
 /// One instance's state, addressed to one other.
@@ -111,21 +111,21 @@
   /// anew, with another clock, since it sent that stamp.
   std::string echo_of;
   std::vector<EndpointLoad> loads;
-  /// The endpoints that fleet_loads and facts are about: they say nothing of
+  /// The endpoints that fleet_loads and engine_statuses are about: they say nothing of
   /// others.
-  KeyRange about;
-  /// From the leader, or its deputy, only: what all instances together have
+  KeyRange covered_keys;
+  /// From the leader, or its backup leader, only: what all instances together have
   /// under way.
   std::vector<KeyedLoad> fleet_loads;
   std::vector<Suspicion> suspicions;
   /// From the leader only.
-  std::vector<KeyedFact> facts;
-  /// From the leader of a large fleet, or its deputy, only: IPv4 addresses, in
+  std::vector<KeyedEngineStatus> engine_statuses;
+  /// From the leader of a large fleet, or its backup leader, only: IPv4 addresses, in
   /// host byte order, of all instances to which callers may be sent.
   std::vector<std::uint32_t> ready_instances;
-  /// From the leader of a large fleet only: datagram addresses of its deputies
-  /// (see ChooseDeputies).
-  std::vector<std::string> deputies;
+  /// From the leader of a large fleet only: datagram addresses of its backup leaders
+  /// (see ChooseBackupLeaders).
+  std::vector<std::string> backup_leaders;
   /// Datagram addresses of other instances that the sender knows.
   std::vector<std::string> peers;
 
@@ -135,7 +135,7 @@
 /// Leaves out of \p beacon what would make it larger than a datagram: the least
 /// of very many loads, and of very many suspicions those that end soonest.
 /// Thread safety: safe.
-void KeepToDatagram(Beacon& beacon);
+void TrimToDatagram(Beacon& beacon);
 
 /// Returns \p beacon as bytes (CBOR). Thread safety: safe.
 std::string Encode(const Beacon& beacon);
--- a/include/toucanwharf/gossip/candidacy.h
+++ b/include/toucanwharf/gossip/election_policy.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_GOSSIP_CANDIDACY_H_
-#define TOUCANWHARF_GOSSIP_CANDIDACY_H_
+#ifndef TOUCANWHARF_GOSSIP_ELECTION_POLICY_H_
+#define TOUCANWHARF_GOSSIP_ELECTION_POLICY_H_
 
 #include <cstddef>
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace toucanwharf::gossip {
 
-/// Times of Candidacy, with the reason of each.
-struct CandidacySettings {
+/// Times of ElectionPolicy, with the reason of each.
+struct ElectionSettings {
   /// So many candidates try at once: one of them may be cut off from the store.
   std::size_t at_once = 4;
   /// The next ones follow after this long: a holder is heard of by all within
@@ -23,8 +23,8 @@
   double strong_share = 0.2;
   Duration weak_start = std::chrono::milliseconds(1000);
 
-  friend bool operator==(const CandidacySettings&,
-                         const CandidacySettings&) = default;
+  friend bool operator==(const ElectionSettings&,
+                         const ElectionSettings&) = default;
 };
 
 /// Decides when an instance may try to take a leadership that is vacant.
@@ -35,20 +35,20 @@
 /// talking to the others while its callers wait. Stronger ones go first, a few
 /// at a time; the others hear of the winner and needn't ask.
 /// Thread safety: none; for one thread.
-class Candidacy {
+class ElectionPolicy {
  public:
   /// \p share is the part of a core that this process may use.
-  Candidacy(double share, TimePoint start, const CandidacySettings& chosen = {})
+  ElectionPolicy(double share, TimePoint start, const ElectionSettings& chosen = {})
       : settings(chosen),
         strong(share >= chosen.strong_share),
         started(start) {}
 
   /// Returns whether to try at \p now. \p vacant is whether no holder is known,
   /// \p ahead how many live peers go before this instance.
-  bool MayTry(bool vacant, std::size_t ahead, TimePoint now);
+  bool MayAttempt(bool vacant, std::size_t ahead, TimePoint now);
 
  private:
-  CandidacySettings settings;
+  ElectionSettings settings;
   bool strong;
   TimePoint started;
   std::optional<TimePoint> vacant_since;
--- a/include/toucanwharf/gossip/fleet_loads.h
+++ b/include/toucanwharf/gossip/fleet_loads.h
@@ -16,7 +16,7 @@
  public:
   /// Takes what the leader tells of the endpoints in \p about: those that
   /// \p loads leaves out are idle.
-  void Take(const KeyRange& about, const std::vector<KeyedLoad>& loads);
+  void Update(const KeyRange& about, const std::vector<KeyedLoad>& loads);
   /// Returns the loads of all parts, by key.
   std::vector<KeyedLoad> All() const;
 
--- a/include/toucanwharf/gossip/roster.h
+++ b/include/toucanwharf/gossip/ready_instance_list.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_GOSSIP_ROSTER_H_
-#define TOUCANWHARF_GOSSIP_ROSTER_H_
+#ifndef TOUCANWHARF_GOSSIP_READY_INSTANCE_LIST_H_
+#define TOUCANWHARF_GOSSIP_READY_INSTANCE_LIST_H_
 
 #include <cstdint>
 #include <optional>
@@ -27,15 +27,15 @@
 /// one by turns, and learns of a dead one after half a minute; until then it
 /// sends callers there. The leader hears everyone four times a second, and
 /// tells everyone whom it hears. Thread safety: none; for one thread.
-class Roster {
+class ReadyInstanceList {
  public:
   /// The word of a leader that has fallen silent counts for so long.
-  static constexpr Duration kHolds = std::chrono::milliseconds(1500);
+  static constexpr Duration kMaxAge = std::chrono::milliseconds(1500);
 
   /// Takes the leader's word. An empty one says nothing.
-  void Take(const std::vector<std::uint32_t>& ready, TimePoint now);
+  void Update(const std::vector<std::uint32_t>& ready, TimePoint now);
   /// Returns whether the leader's word still counts.
-  bool Holds(TimePoint now) const;
+  bool IsCurrent(TimePoint now) const;
   /// Returns the instances in it. Precondition: it holds.
   const std::vector<std::uint32_t>& Ready() const { return this->ready; }
 
--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -33,7 +33,7 @@
 /// What an endpoint says of itself when asked.
 struct EndpointReport {
   /// See endpoints::Endpoint.
-  std::uint64_t born = 0;
+  std::uint64_t start_time_ms = 0;
   placement::EngineReport engine;
   std::vector<StalledAnswer> stalled;
 
--- a/include/toucanwharf/instance/beliefs.h
+++ b/include/toucanwharf/instance/beliefs.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "toucanwharf/endpoints/endpoint_table.h"
-#include "toucanwharf/endpoints/load_book.h"
+#include "toucanwharf/endpoints/load_tracker.h"
 #include "toucanwharf/gossip/peer_table.h"
-#include "toucanwharf/gossip/roster.h"
+#include "toucanwharf/gossip/ready_instance_list.h"
 #include "toucanwharf/instance/settings.h"
 #include "toucanwharf/routes/freshness.h"
 #include "toucanwharf/routes/route_table.h"
@@ -30,13 +30,13 @@
   std::string configuration_text;
   routes::Freshness freshness;
   endpoints::EndpointTable endpoints;
-  endpoints::LoadBook loads;
+  endpoints::LoadTracker loads;
   gossip::PeerTable peers;
-  gossip::Roster roster;
-  /// Datagram addresses of the leader's deputies, in a large fleet, as the
+  gossip::ReadyInstanceList ready_list;
+  /// Datagram addresses of the leader's backup leaders, in a large fleet, as the
   /// leader last named them; and whether this instance is one of them.
-  std::vector<std::string> deputies;
-  bool deputy = false;
+  std::vector<std::string> backup_leaders;
+  bool is_backup_leader = false;
   /// Whether this process was told to stop, and when.
   std::optional<TimePoint> stopping_since;
   /// Whether it holds the placement lease.
--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -16,7 +16,7 @@
 #include "toucanwharf/attempts/alarm_restraint.h"
 #include "toucanwharf/attempts/arrival_budget.h"
 #include "toucanwharf/attempts/start_wait.h"
-#include "toucanwharf/endpoints/doubt.h"
+#include "toucanwharf/endpoints/liveness_evidence.h"
 #include "toucanwharf/eventlog/logger.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
@@ -156,7 +156,7 @@
   /// Notes that \p endpoint gives no sign of life.
   void NoteSilent(const std::string& endpoint);
   /// Returns what the streams under way, but for \p except, show of engines.
-  std::vector<endpoints::AnswerSign> SignsBeside(const Passage& except) const;
+  std::vector<endpoints::LivenessEvidence> SignsBeside(const Passage& except) const;
   /// Lets \p passage wait until there is room for its answer.
   void Enqueue(std::shared_ptr<Passage> passage);
   void ServeQueue();
--- a/include/toucanwharf/instance/instance.h
+++ b/include/toucanwharf/instance/instance.h
@@ -47,7 +47,7 @@
             this->loop, this->store, this->beliefs, this->logger, this->lists,
             [this] { this->OnChange(); },
             StoreSyncTimes(this->settings.bounds.configuration),
-            gossip::FirstRead(this->settings.processor_share, this->loop.Now(),
+            gossip::InitialReadPolicy(this->settings.processor_share, this->loop.Now(),
                               this->random.Unit())),
         placement(this->loop, this->client, this->store, this->beliefs,
                   this->peers, this->logger, this->settings) {}
@@ -244,7 +244,7 @@
   /// Tells the failure domain, once, that this process has what others that
   /// have just started wait for.
   void TellAtStart() {
-    const bool reads_first = gossip::ReadsFirst(this->settings.processor_share);
+    const bool reads_first = gossip::ReadsImmediately(this->settings.processor_share);
     const bool has = this->beliefs.knows_instances && this->beliefs.table &&
                      this->beliefs.endpoints.Revision() > 0;
     if (!reads_first || !has || std::exchange(this->told_at_start, true)) {
@@ -260,7 +260,7 @@
     const Duration window = this->settings.budget.window;
     const bool long_enough = now - this->started >= window;
     if (!this->beliefs.knows_instances && !long_enough) return;
-    this->gateway.SetSharers({this->beliefs.peers.Instances(now),
+    this->gateway.SetSharers({this->beliefs.peers.InstanceCount(now),
                               this->beliefs.peers.StartedWithin(window, now)});
   }
 
--- a/include/toucanwharf/instance/peer_copies.h
+++ b/include/toucanwharf/instance/peer_copies.h
@@ -121,9 +121,9 @@
 
 /// Returns \p list as text, for one instance to hand to another.
 /// Thread safety: safe.
-std::string EndpointsToText(const endpoints::SharedList& list);
+std::string EndpointsToText(const endpoints::EndpointListSnapshot& list);
 /// The way back; nothing for a text that is no such list. Thread safety: safe.
-std::optional<endpoints::SharedList> EndpointsFromText(const std::string& text);
+std::optional<endpoints::EndpointListSnapshot> EndpointsFromText(const std::string& text);
 
 }  // namespace toucanwharf::instance
 
--- a/include/toucanwharf/instance/peer_link.h
+++ b/include/toucanwharf/instance/peer_link.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "toucanwharf/eventlog/logger.h"
-#include "toucanwharf/gossip/deputies.h"
+#include "toucanwharf/gossip/backup_leaders.h"
 #include "toucanwharf/gossip/fleet_loads.h"
 #include "toucanwharf/gossip/key_range.h"
-#include "toucanwharf/gossip/rotation.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/datagram.h"
 #include "toucanwharf/http/server.h"
@@ -46,11 +46,11 @@
   void AddInstance(const std::string& control_address);
   /// Learns of the instances that have registered, by their control addresses.
   ///
-  /// Where no leader has named deputies, the strongest of them are. All
+  /// Where no leader has named backup leaders, the strongest of them are. All
   /// processes of a large fleet may have started anew; until a leader is found
   /// nobody would tell them of loads and proofs, and each would read the store
   /// for itself.
-  void AddRegistered(const std::vector<gossip::DeputyCandidate>& registered);
+  void AddRegistered(const std::vector<gossip::BackupLeaderCandidate>& registered);
   /// Sends beacons at once, because something changed that others act on.
   void Announce();
   /// The same for a change of the configuration or the list of endpoints. In a
@@ -73,7 +73,7 @@
     return this->copies.Handle(exchange);
   }
   /// Sets the facts to send along while this instance places layers.
-  void SetFacts(std::vector<gossip::EngineFact> known) {
+  void SetFacts(std::vector<gossip::EngineStatus> known) {
     this->facts = std::move(known);
   }
 
@@ -101,22 +101,22 @@
   /// the answers on it.
   void Tell(std::vector<std::string> addresses, std::size_t begin);
   void Tick();
-  gossip::Audience MakeAudience(TimePoint now) const;
+  gossip::BeaconTargets MakeAudience(TimePoint now) const;
   gossip::Beacon MakeBeacon(TimePoint now) const;
   void AddFleet(gossip::Beacon& beacon, TimePoint now) const;
   /// Returns the instances that callers may be sent to, this one included.
   std::vector<std::uint32_t> ReadyInstances(TimePoint now) const;
-  /// Returns the deputies that are neither this instance nor \p leader.
-  std::vector<std::string> OtherDeputies(const std::string& leader) const;
+  /// Returns the backup leaders that are neither this instance nor \p leader.
+  std::vector<std::string> OtherBackupLeaders(const std::string& leader) const;
   bool MayKnowNobody(const std::string& address, TimePoint now) const;
   /// Returns whether this instance tells the others of the fleet: it leads, or
-  /// it is a deputy and there is no leader.
+  /// it is a backup leader and there is no leader.
   bool SpeaksForFleet(TimePoint now) const;
-  /// Returns whether this instance has led, or been a deputy, for long enough
+  /// Returns whether this instance has led, or been a backup leader, for long enough
   /// to have heard of all that live.
   bool HearsAll(TimePoint now) const;
   void AdoptFleet(const gossip::Beacon& beacon, TimePoint now);
-  void SetDeputies(std::vector<std::string> addresses);
+  void SetBackupLeaders(std::vector<std::string> addresses);
   std::string DatagramAddressOf(const std::string& control_address) const;
   /// Adds up what the peers have under way.
   void SumLoads(TimePoint now);
@@ -140,9 +140,9 @@
   std::unique_ptr<http::DatagramSocket> socket;
   PeerCopies copies;
   std::function<void(const std::string&)> engine_silent;
-  std::vector<gossip::EngineFact> facts;
-  gossip::Rotation rotation;
-  /// The endpoints that this instance, if it is a hub, tells of now.
+  std::vector<gossip::EngineStatus> facts;
+  gossip::BeaconSchedule rotation;
+  /// The endpoints that this instance, if it is a coordinator, tells of now.
   gossip::KeyRanges ranges;
   gossip::KeyRange about;
   /// What the leader has told of them.
@@ -151,8 +151,8 @@
   /// Newest stamp by datagram address.
   std::map<std::string, Stamp> stamps;
   std::set<std::string> live_before;
-  /// Since when this instance leads or is a deputy.
-  std::optional<TimePoint> hub_since;
+  /// Since when this instance leads or is a backup leader.
+  std::optional<TimePoint> coordinator_since;
   /// Whether an announcement waits for its turn.
   bool announcing = false;
   Random random;
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -13,8 +13,8 @@
 
 #include "toucanwharf/control/lease.h"
 #include "toucanwharf/eventlog/logger.h"
-#include "toucanwharf/gossip/candidacy.h"
-#include "toucanwharf/gossip/deputies.h"
+#include "toucanwharf/gossip/election_policy.h"
+#include "toucanwharf/gossip/backup_leaders.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/instance/adapter.h"
 #include "toucanwharf/instance/beliefs.h"
@@ -73,7 +73,7 @@
         processor_share(chosen.processor_share),
         callers_address(chosen.callers_address),
         datagram_address(chosen.datagram_address),
-        candidacy(chosen.processor_share, event_loop.Now()),
+        election_policy(chosen.processor_share, event_loop.Now()),
         lease(LeaseTerms(shared_beliefs.instance),
               HashText(shared_beliefs.instance)) {
     this->layout_settings.standby_copies = chosen.mechanisms.standby_copies;
@@ -92,7 +92,7 @@
 
  private:
   struct Known {
-    std::uint64_t born = 0;
+    std::uint64_t start_time_ms = 0;
     bool asking = false;
     int failed_reports = 0;
     TimePoint asked{Duration(-1'000'000'000)};
@@ -133,8 +133,8 @@
   /// went to full engines for the five seconds that the old lease lasts.
   void ActForLeader(TimePoint now) {
     const bool acts =
-        this->beliefs.deputy && this->beliefs.peers.Large(now) &&
-        gossip::ActsForLeader(this->beliefs.peers, this->beliefs.deputies,
+        this->beliefs.is_backup_leader && this->beliefs.peers.IsLargeFleet(now) &&
+        gossip::ActsForLeader(this->beliefs.peers, this->beliefs.backup_leaders,
                               this->datagram_address, now);
     if (!acts) {
       if (this->engines.empty()) return;
@@ -172,23 +172,23 @@
     return !this->beliefs.peers.Leader(now).empty();
   }
 
-  /// The deputies, which have heard what the leader heard, go first, and the
+  /// The backup leaders, which have heard what the leader heard, go first, and the
   /// others seconds later.
   std::size_t Ahead(TimePoint now) const {
-    constexpr std::size_t kBehindDeputies = 24;
-    const std::size_t ahead = this->beliefs.peers.Ahead(
+    constexpr std::size_t kBehindBackupLeaders = 24;
+    const std::size_t ahead = this->beliefs.peers.CandidatesAhead(
         this->processor_share, this->callers_address, now);
-    const bool deputies_lead = this->beliefs.roster.Holds(now);
-    return deputies_lead ? ahead + kBehindDeputies : ahead;
+    const bool backup_leaders_lead = this->beliefs.ready_list.IsCurrent(now);
+    return backup_leaders_lead ? ahead + kBehindBackupLeaders : ahead;
   }
 
   void PollLease() {
     const TimePoint now = this->loop.Now();
-    // A deputy looks at the lease all the time: a challenger has to see it
+    // A backup leader looks at the lease all the time: a challenger has to see it
     // unchanged for a whole term, and that time is over then.
     const bool turn =
-        this->beliefs.deputy ||
-        this->candidacy.MayTry(!this->AnotherLeads(now), this->Ahead(now), now);
+        this->beliefs.is_backup_leader ||
+        this->election_policy.MayAttempt(!this->AnotherLeads(now), this->Ahead(now), now);
     // A lease that is given back must be, whoever else leads by now.
     const bool stopping = this->beliefs.stopping_since.has_value();
     if (!this->beliefs.leads && !turn && !stopping) return;
@@ -220,10 +220,10 @@
     if (answered) return;
     const TimePoint now = this->loop.Now();
     const gossip::PeerTable& known = this->beliefs.peers;
-    const bool one_of_many = known.Large(now) && !this->beliefs.deputy;
+    const bool one_of_many = known.IsLargeFleet(now) && !this->beliefs.is_backup_leader;
     const Duration pause =
         one_of_many ? this->times.lease_turn *
-                          static_cast<std::int64_t>(known.Instances(now))
+                          static_cast<std::int64_t>(known.InstanceCount(now))
                     : this->times.lease_pause;
     this->lease_pause_until = now + std::max(pause, this->times.lease_pause);
   }
@@ -273,16 +273,16 @@
   bool Lost(const endpoints::Endpoint& endpoint) const {
     const auto known = this->engines.find(endpoint.id);
     return known != this->engines.end() &&
-           known->second.born == endpoint.born &&
+           known->second.start_time_ms == endpoint.start_time_ms &&
            known->second.failed_reports >= kLostAfter;
   }
 
   /// Forgets what was known of an earlier life of \p endpoint.
   void KnowLifeOf(const endpoints::Endpoint& endpoint) {
     Known& known = this->engines[endpoint.id];
-    if (known.born == endpoint.born) return;
+    if (known.start_time_ms == endpoint.start_time_ms) return;
     known = Known{};
-    known.born = endpoint.born;
+    known.start_time_ms = endpoint.start_time_ms;
     this->book.Forget(endpoint.id);
   }
 
@@ -307,14 +307,14 @@
   };
 
   void AskReports(TimePoint now) {
-    const Duration period = this->beliefs.peers.Large(now)
+    const Duration period = this->beliefs.peers.IsLargeFleet(now)
                                 ? this->times.watch_period_large
                                 : this->times.watch_period;
     for (auto& [id, known] : this->engines) {
       const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
       if (endpoint == nullptr || known.asking) continue;
       const bool due = this->book.NeedsReport(id) || known.failed_reports > 0 ||
-                       this->beliefs.loads.Suspected(id, now) ||
+                       this->beliefs.loads.IsSuspected(id, now) ||
                        now - known.asked >= period;
       if (due) this->AskReport(*endpoint, now);
     }
@@ -346,7 +346,7 @@
       return;
     }
     known.failed_reports = 0;
-    this->beliefs.loads.Answered(id, this->loop.Now());
+    this->beliefs.loads.OnResponse(id, this->loop.Now());
     const auto report = A::ToReport(body);
     if (!report) {
       this->logger.Write(eventlog::Level::kNotable, "report_unreadable",
@@ -355,15 +355,15 @@
       return;
     }
     // Another endpoint may have got the address, or this one started anew.
-    if (report->born != 0 && report->born != known.born) return;
+    if (report->start_time_ms != 0 && report->start_time_ms != known.start_time_ms) return;
     this->book.OnReport(id, report->engine, asked);
     const TimePoint now = this->loop.Now();
     // In a small fleet every answer is known sooner than a report tells of it,
     // and a report of a moment ago would hold back room that is free by now.
     const double held =
-        this->beliefs.peers.Large(now) ? report->engine.token_layers : 0;
-    this->beliefs.loads.SetFact(
-        {id, known.born, report->engine.layers, report->engine.slowdown, held},
+        this->beliefs.peers.IsLargeFleet(now) ? report->engine.token_layers : 0;
+    this->beliefs.loads.SetEngineStatus(
+        {id, known.start_time_ms, report->engine.layers, report->engine.slowdown, held},
         now + this->times.facts_for);
   }
 
@@ -373,9 +373,9 @@
   void SuspectSilent(const std::string& id, const Known& known) {
     constexpr int kSure = 2;
     const TimePoint now = this->loop.Now();
-    const bool doubted = this->beliefs.loads.Suspected(id, now);
+    const bool doubted = this->beliefs.loads.IsSuspected(id, now);
     if (known.failed_reports < kSure && !doubted) return;
-    const bool news = this->beliefs.loads.FoundSilent(
+    const bool news = this->beliefs.loads.MarkUnresponsive(
         id, now + this->times.unanswered_pause, now);
     if (news) this->peers.AnnounceSilentEngine();
   }
@@ -428,12 +428,12 @@
   }
 
   void ShareFacts() {
-    std::vector<gossip::EngineFact> facts;
+    std::vector<gossip::EngineStatus> facts;
     for (const auto& [id, known] : this->engines) {
       const endpoints::Endpoint* endpoint = this->beliefs.endpoints.Find(id);
       if (endpoint == nullptr) continue;
-      const gossip::EngineFact* fact =
-          this->beliefs.loads.Fact(*endpoint, this->loop.Now());
+      const gossip::EngineStatus* fact =
+          this->beliefs.loads.FindEngineStatus(*endpoint, this->loop.Now());
       if (fact != nullptr) facts.push_back(*fact);
     }
     this->peers.SetFacts(std::move(facts));
@@ -453,7 +453,7 @@
   double processor_share;
   std::string callers_address;
   std::string datagram_address;
-  gossip::Candidacy candidacy;
+  gossip::ElectionPolicy election_policy;
   control::Lease lease;
   TimePoint lease_pause_until;
   placement::OrderBook book;
--- a/include/toucanwharf/instance/registration.h
+++ b/include/toucanwharf/instance/registration.h
@@ -4,13 +4,13 @@
 #include <optional>
 #include <string>
 
-#include "toucanwharf/gossip/deputies.h"
+#include "toucanwharf/gossip/backup_leaders.h"
 
 namespace toucanwharf::instance {
 
 /// What an instance writes of itself to the store, for those that start later:
 /// its control address, failure domain and part of a core.
-using Registration = gossip::DeputyCandidate;
+using Registration = gossip::BackupLeaderCandidate;
 
 /// Returns \p registration as text. Thread safety: safe.
 std::string ToText(const Registration& registration);
--- a/include/toucanwharf/instance/store_sync.h
+++ b/include/toucanwharf/instance/store_sync.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "toucanwharf/eventlog/logger.h"
-#include "toucanwharf/gossip/first_read.h"
+#include "toucanwharf/gossip/initial_read_policy.h"
 #include "toucanwharf/http/loop.h"
 #include "toucanwharf/instance/adapter.h"
 #include "toucanwharf/instance/beliefs.h"
@@ -25,7 +25,7 @@
   explicit StoreSyncTimes(Duration configuration)
       : reader_period(configuration * 13 / 40),
         reader_period_large(configuration / 8),
-        deputy_proof(configuration * 3 / 10),
+        backup_leader_confirmation(configuration * 3 / 10),
         oldest_proof(configuration * 6 / 10) {}
 
   /// Returns how often the instance that places layers reads, which vouches to
@@ -47,10 +47,10 @@
   /// The same in a large fleet, whose others hear of it twice a second: two of
   /// its messages in a row may be lost before they read for themselves.
   Duration reader_period_large;
-  /// A deputy whose newest proof is older than this reads: the leader has
-  /// probably gone, and the others go by the deputy's word before their own
+  /// A backup leader whose newest proof is older than this reads: the leader has
+  /// probably gone, and the others go by the backup leader's word before their own
   /// proofs get too old.
-  Duration deputy_proof;
+  Duration backup_leader_confirmation;
   Duration follower_turn = std::chrono::milliseconds(25);
   /// An instance whose newest proof is older than this reads for itself. The
   /// reader's period and the beacons both ways stay below it; with the read it
@@ -79,7 +79,7 @@
   StoreSync(http::Loop& event_loop, Store& object_store,
             Beliefs& shared_beliefs, eventlog::Logger& log,
             EndpointListLog& list_log, std::function<void()> on_change,
-            const StoreSyncTimes& chosen, const gossip::FirstRead& at_start)
+            const StoreSyncTimes& chosen, const gossip::InitialReadPolicy& at_start)
       : loop(event_loop),
         store(object_store),
         beliefs(shared_beliefs),
@@ -121,7 +121,7 @@
  private:
   void Look() {
     const TimePoint now = this->loop.Now();
-    const bool large = this->beliefs.peers.Large(now);
+    const bool large = this->beliefs.peers.IsLargeFleet(now);
     const Duration period = this->Period(large);
     const auto age = this->beliefs.freshness.Age(now);
     const bool may_begin = this->MayReadFirst(now);
@@ -147,7 +147,7 @@
   bool MayReadFirst(TimePoint now) const {
     std::optional<std::size_t> instances;
     if (this->beliefs.knows_instances) {
-      instances = this->beliefs.peers.Instances(now);
+      instances = this->beliefs.peers.InstanceCount(now);
     }
     return this->first_read.MayRead(instances, now);
   }
@@ -155,8 +155,8 @@
   /// Returns how old the newest proof may be.
   Duration Period(bool large) const {
     if (this->beliefs.leads) return this->times.ReaderPeriod(large);
-    const bool deputy = large && this->beliefs.deputy;
-    return deputy ? this->times.deputy_proof : this->times.oldest_proof;
+    const bool is_backup_leader = large && this->beliefs.is_backup_leader;
+    return is_backup_leader ? this->times.backup_leader_confirmation : this->times.oldest_proof;
   }
 
   bool Due(const std::optional<Duration>& age, Duration period, TimePoint asked,
@@ -185,20 +185,20 @@
     constexpr int kMostDoublings = 2;
     const Duration own = this->times.away_period *
                          (1 << std::min(this->failures, kMostDoublings));
-    if (!this->beliefs.peers.Large(now) || this->beliefs.leads) return own;
-    // Where the leader or a deputy has read lately, the store is up, and only
+    if (!this->beliefs.peers.IsLargeFleet(now) || this->beliefs.leads) return own;
+    // Where the leader or a backup leader has read lately, the store is up, and only
     // this instance's reads fail: it must go on, or it would use endpoints that
     // have left (I5).
-    const auto hubs =
-        this->beliefs.peers.HubsProofAge(this->beliefs.deputies, now);
-    const bool outage = hubs && *hubs > this->times.reader_period_large * 3;
+    const auto coordinators =
+        this->beliefs.peers.CoordinatorConfirmationAge(this->beliefs.backup_leaders, now);
+    const bool outage = coordinators && *coordinators > this->times.reader_period_large * 3;
     // A process that has no configuration yet uses no endpoints. Where all have
     // just started and the store can't serve them at once, hundreds that ask on
     // would keep it from serving any; whoever gets an answer tells the others.
     const bool serves = this->beliefs.configuration_revision > 0;
     if (serves && !outage) return own;
     return std::max(
-        own, this->times.FollowerBackoff(this->beliefs.peers.Instances(now)));
+        own, this->times.FollowerBackoff(this->beliefs.peers.InstanceCount(now)));
   }
 
   void ReadConfiguration() {
@@ -257,7 +257,7 @@
   }
 
   void NoteStore(bool answered) {
-    if (!answered) this->beliefs.endpoints.OnStoreAway(this->loop.Now());
+    if (!answered) this->beliefs.endpoints.OnStoreUnavailable(this->loop.Now());
     this->failures = answered ? 0 : this->failures + 1;
     if (std::exchange(this->store_answers, answered) == answered) return;
     this->logger.Write(eventlog::Level::kNotable,
@@ -272,7 +272,7 @@
   EndpointListLog& lists;
   std::function<void()> changed;
   StoreSyncTimes times;
-  gossip::FirstRead first_read;
+  gossip::InitialReadPolicy first_read;
   /// Long ago: the first reads needn't wait.
   TimePoint configuration_asked{Duration(-1'000'000'000)};
   TimePoint endpoints_asked{Duration(-1'000'000'000)};
--- a/include/toucanwharf/membership/membership.h
+++ b/include/toucanwharf/membership/membership.h
@@ -52,7 +52,7 @@
   /// Returns the members that are not dead, itself included, by id.
   std::vector<Member> Present() const;
   /// Returns what is believed.
-  const View& Beliefs() const { return this->view; }
+  const View& CurrentView() const { return this->view; }
 
  private:
   struct Pending {
--- a/include/toucanwharf/placement/path_finder.h
+++ b/include/toucanwharf/placement/path_finder.h
@@ -28,7 +28,7 @@
   /// Tokens that those answers hold, times the layers that they run here.
   double token_layers = 0;
   /// Answers under way of which it is the first of the path.
-  double first_of = 0;
+  double first_stage_answers = 0;
 
   friend bool operator==(const Engine&, const Engine&) = default;
 };
--- a/include/toucanwharf/platform/client.h
+++ b/include/toucanwharf/platform/client.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "toucanwharf/store/call_gate.h"
+#include "toucanwharf/store/call_limiter.h"
 #include "toucanwharf/store/object.h"
 #include "toucanwharf/transport/event_loop.h"
 #include "toucanwharf/transport/http_client.h"
@@ -62,16 +62,16 @@
  private:
   using Done = std::function<void(const transport::HttpOutcome&)>;
 
-  void Start(transport::HttpCall call, store::CallGate& through, Done done);
-  void Enter(transport::HttpCall call, store::CallGate& through, Done done,
+  void Start(transport::HttpCall call, store::CallLimiter& through, Done done);
+  void Enter(transport::HttpCall call, store::CallLimiter& through, Done done,
              TimePoint give_up);
 
   transport::EventLoop& loop;
   transport::HttpClient& http;
   std::string address;
-  store::CallGate gate;
+  store::CallLimiter gate;
   /// Watches wait long, and must not count as calls under way in `gate`.
-  store::CallGate watch_gate;
+  store::CallLimiter watch_gate;
   std::uint64_t calls = 0;
 };
 
--- a/include/toucanwharf/store/call_gate.h
+++ b/include/toucanwharf/store/call_limiter.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_STORE_CALL_GATE_H_
-#define TOUCANWHARF_STORE_CALL_GATE_H_
+#ifndef TOUCANWHARF_STORE_CALL_LIMITER_H_
+#define TOUCANWHARF_STORE_CALL_LIMITER_H_
 
 #include <cstdint>
 
@@ -9,7 +9,7 @@
 namespace toucanwharf::store {
 
 /// Limits of one instance's calls to the platform.
-struct GateLimits {
+struct CallLimits {
   /// Calls a second. The platform takes about two thousand reads and several
   /// hundred writes a second; six instances at 60 leave half of that free.
   double calls_per_second = 60.0;
@@ -21,7 +21,7 @@
   Duration first_pause{std::chrono::milliseconds(50)};
   Duration longest_pause{std::chrono::seconds(5)};
 
-  friend bool operator==(const GateLimits&, const GateLimits&) = default;
+  friend bool operator==(const CallLimits&, const CallLimits&) = default;
 };
 
 /// Decides when an instance may call the platform.
@@ -34,14 +34,14 @@
 /// the budget rather than with a burst.
 ///
 /// Thread safety: none; for one thread.
-class CallGate {
+class CallLimiter {
  public:
   /// Precondition: rates and pauses of \p limits are above zero.
-  CallGate(const GateLimits& limits, Random random);
+  CallLimiter(const CallLimits& limits, Random random);
 
   /// Takes one call out of the budget; false if it must wait. A call that was
   /// let through is followed by exactly one OnSuccess or OnFailure.
-  bool TryEnter(TimePoint now);
+  bool TryAcquire(TimePoint now);
   /// The platform answered, whatever it answered.
   void OnSuccess();
   /// The platform didn't answer, or only that it is unavailable.
@@ -53,7 +53,7 @@
  private:
   void Refill(TimePoint now);
 
-  GateLimits limits;
+  CallLimits limits;
   Random random;
   double tokens;
   TimePoint refilled_at;
--- a/lib/control/lease.cc
+++ b/lib/control/lease.cc
@@ -144,7 +144,7 @@
   }
   if (ended.write.Next() != ConditionalWrite::Step::kConflict) return;
   this->valid_until = std::min(this->valid_until, now);
-  const std::optional<store::Object> obstacle = ended.write.Obstacle();
+  const std::optional<store::Object> obstacle = ended.write.ConflictingObject();
   this->attempt.reset();
   if (obstacle.has_value()) {
     this->See(*obstacle, now);
--- a/lib/endpoints/endpoint_table.cc
+++ b/lib/endpoints/endpoint_table.cc
@@ -22,7 +22,7 @@
 std::uint32_t EndpointKey(const Endpoint& endpoint) {
   constexpr std::uint64_t kLowHalf = 0xffffffff;
   return static_cast<std::uint32_t>(
-      MixBits(HashText(endpoint.id) ^ endpoint.born) & kLowHalf);
+      MixBits(HashText(endpoint.id) ^ endpoint.start_time_ms) & kLowHalf);
 }
 
 void EndpointTable::SetInUse(ById next) {
@@ -70,14 +70,14 @@
   return this->Use(IndexById(std::move(listed)), this->by_id, revision);
 }
 
-bool EndpointTable::Adopt(SharedList list, TimePoint now) {
+bool EndpointTable::Adopt(EndpointListSnapshot list, TimePoint now) {
   if (list.revision < this->last_revision) return false;
-  const bool peer_keeps = list.kept_for > Duration(0);
+  const bool peer_keeps = list.retained_for > Duration(0);
   if (peer_keeps && !this->KeepsMissing()) {
-    this->kept_until = now + list.kept_for;
+    this->kept_until = now + list.retained_for;
   }
   auto known = this->by_id;
-  known.merge(IndexById(std::move(list.kept)));
+  known.merge(IndexById(std::move(list.retained)));
   return this->Use(IndexById(std::move(list.endpoints)), known, list.revision);
 }
 
@@ -99,13 +99,13 @@
   return new_list || in_use_changed;
 }
 
-SharedList EndpointTable::Share(TimePoint now) const {
-  SharedList list;
+EndpointListSnapshot EndpointTable::Share(TimePoint now) const {
+  EndpointListSnapshot list;
   for (const auto& [id, one] : this->by_id) {
-    auto& into = this->kept.contains(id) ? list.kept : list.endpoints;
+    auto& into = this->kept.contains(id) ? list.retained : list.endpoints;
     into.push_back(one);
   }
-  list.kept_for = this->OutageGoesOn()
+  list.retained_for = this->OutageGoesOn()
                       ? this->outage_grace
                       : std::max(Duration(0), this->kept_until - now);
   list.revision = this->changed_revision;
--- a/lib/endpoints/doubt.cc
+++ b/lib/endpoints/liveness_evidence.cc
@@ -1,15 +1,15 @@
-#include "toucanwharf/endpoints/doubt.h"
+#include "toucanwharf/endpoints/liveness_evidence.h"
 
 #include <set>
 #include <string_view>
 
 namespace toucanwharf::endpoints {
 
-std::vector<pipeline::Stage> DoubtedEngines(
+std::vector<pipeline::Stage> EnginesWithoutEvidence(
     const std::vector<pipeline::Stage>& stages, TimePoint since,
-    const std::vector<AnswerSign>& others) {
+    const std::vector<LivenessEvidence>& others) {
   std::set<std::string_view> alive;
-  for (const AnswerSign& other : others) {
+  for (const LivenessEvidence& other : others) {
     if (other.last_event < since) continue;
     for (const pipeline::Stage& stage : other.stages) {
       alive.insert(stage.endpoint);
--- a/lib/endpoints/load_book.cc
+++ b/lib/endpoints/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/endpoints/load_book.h"
+#include "toucanwharf/endpoints/load_tracker.h"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
          double sign) {
   sum.answers += sign * load.answers;
   sum.token_layers += sign * load.token_layers;
-  sum.first_of += sign * load.first_of;
+  sum.first_stage_answers += sign * load.first_stage_answers;
 }
 
 bool Holds(const std::map<std::string, TimePoint>& until,
@@ -41,13 +41,13 @@
 
 }  // namespace
 
-void LoadBook::Began(const gossip::EndpointLoad& load) {
+void LoadTracker::AddInFlight(const gossip::EndpointLoad& load) {
   gossip::EndpointLoad& sum = this->own[load.endpoint];
   sum.endpoint = load.endpoint;
   Add(sum, load, 1);
 }
 
-void LoadBook::Ended(const gossip::EndpointLoad& load) {
+void LoadTracker::RemoveInFlight(const gossip::EndpointLoad& load) {
   const auto found = this->own.find(load.endpoint);
   if (found == this->own.end()) return;
   Add(found->second, load, -1);
@@ -56,13 +56,13 @@
   if (found->second.answers < kNone) this->own.erase(found);
 }
 
-std::vector<gossip::EndpointLoad> LoadBook::Own() const {
+std::vector<gossip::EndpointLoad> LoadTracker::Local() const {
   std::vector<gossip::EndpointLoad> loads;
   for (const auto& [endpoint, load] : this->own) loads.push_back(load);
   return loads;
 }
 
-void LoadBook::SetPeers(const std::vector<gossip::EndpointLoad>& loads) {
+void LoadTracker::SetPeerLoads(const std::vector<gossip::EndpointLoad>& loads) {
   this->peers.clear();
   for (const gossip::EndpointLoad& load : loads) {
     gossip::EndpointLoad& sum = this->peers[load.endpoint];
@@ -71,8 +71,8 @@
   }
 }
 
-void LoadBook::SetFleet(const std::vector<gossip::EndpointLoad>& loads) {
-  this->SetPeers(loads);
+void LoadTracker::SetFleetLoads(const std::vector<gossip::EndpointLoad>& loads) {
+  this->SetPeerLoads(loads);
   for (auto& [endpoint, sum] : this->peers) {
     const auto mine = this->own.find(endpoint);
     if (mine == this->own.end()) continue;
@@ -80,11 +80,11 @@
     // The own part may have grown since the sum was made.
     sum.answers = std::max(sum.answers, 0.0);
     sum.token_layers = std::max(sum.token_layers, 0.0);
-    sum.first_of = std::max(sum.first_of, 0.0);
+    sum.first_stage_answers = std::max(sum.first_stage_answers, 0.0);
   }
 }
 
-std::vector<gossip::EndpointLoad> LoadBook::All() const {
+std::vector<gossip::EndpointLoad> LoadTracker::All() const {
   std::vector<gossip::EndpointLoad> all;
   for (const auto& [endpoint, load] : this->peers) {
     all.push_back(this->Total(endpoint));
@@ -95,7 +95,7 @@
   return all;
 }
 
-gossip::EndpointLoad LoadBook::Total(const std::string& endpoint) const {
+gossip::EndpointLoad LoadTracker::Total(const std::string& endpoint) const {
   gossip::EndpointLoad sum{endpoint, 0, 0, 0};
   const auto mine = this->own.find(endpoint);
   if (mine != this->own.end()) Add(sum, mine->second, 1);
@@ -108,13 +108,13 @@
     others.answers = std::max(others.answers, alike * own_part.answers);
     others.token_layers =
         std::max(others.token_layers, alike * own_part.token_layers);
-    others.first_of = std::max(others.first_of, alike * own_part.first_of);
+    others.first_stage_answers = std::max(others.first_stage_answers, alike * own_part.first_stage_answers);
   }
   Add(sum, others, 1);
   return sum;
 }
 
-void LoadBook::OnRefusal(const std::string& endpoint, bool full,
+void LoadTracker::OnRefusal(const std::string& endpoint, bool full,
                          TimePoint now) {
   if (full) {
     this->full_until[endpoint] = now + kFullPause;
@@ -129,45 +129,45 @@
   this->Suspect(endpoint, known.paused_until);
 }
 
-void LoadBook::Suspect(const std::string& endpoint, TimePoint until) {
+void LoadTracker::Suspect(const std::string& endpoint, TimePoint until) {
   Prolong(this->suspected, endpoint, until);
 }
 
-bool LoadBook::FoundSilent(const std::string& endpoint, TimePoint until,
+bool LoadTracker::MarkUnresponsive(const std::string& endpoint, TimePoint until,
                            TimePoint now) {
-  const bool news = !this->Silent(endpoint, now);
+  const bool news = !this->IsUnresponsive(endpoint, now);
   Prolong(this->silent_until, endpoint, until);
   Prolong(this->found_silent_until, endpoint, until);
   return news;
 }
 
-bool LoadBook::HeardSilent(const std::string& endpoint, TimePoint until,
+bool LoadTracker::MarkReportedUnresponsive(const std::string& endpoint, TimePoint until,
                            TimePoint now) {
   const auto answered = this->answered_at.find(endpoint);
   const bool contradicted = answered != this->answered_at.end() &&
                             now - answered->second < kOwnWordHolds;
   if (contradicted) return false;
-  const bool news = !this->Silent(endpoint, now);
+  const bool news = !this->IsUnresponsive(endpoint, now);
   Prolong(this->silent_until, endpoint, until);
   return news;
 }
 
-bool LoadBook::Silent(const std::string& endpoint, TimePoint now) const {
+bool LoadTracker::IsUnresponsive(const std::string& endpoint, TimePoint now) const {
   return Holds(this->silent_until, endpoint, now);
 }
 
-void LoadBook::Answered(const std::string& endpoint, TimePoint now) {
+void LoadTracker::OnResponse(const std::string& endpoint, TimePoint now) {
   this->answered_at[endpoint] = now;
   this->silent_until.erase(endpoint);
   this->found_silent_until.erase(endpoint);
 }
 
-bool LoadBook::Suspected(const std::string& endpoint, TimePoint now) const {
+bool LoadTracker::IsSuspected(const std::string& endpoint, TimePoint now) const {
   return Holds(this->full_until, endpoint, now) ||
-         Holds(this->suspected, endpoint, now) || this->Silent(endpoint, now);
+         Holds(this->suspected, endpoint, now) || this->IsUnresponsive(endpoint, now);
 }
 
-std::vector<gossip::Suspicion> LoadBook::Suspicions(TimePoint now,
+std::vector<gossip::Suspicion> LoadTracker::Suspicions(TimePoint now,
                                                     bool heard_too) const {
   std::vector<gossip::Suspicion> holding;
   for (const auto& [endpoint, until] : this->suspected) {
@@ -181,20 +181,20 @@
   return holding;
 }
 
-void LoadBook::SetFact(const gossip::EngineFact& fact, TimePoint until) {
+void LoadTracker::SetEngineStatus(const gossip::EngineStatus& fact, TimePoint until) {
   this->facts[fact.endpoint] = TimedFact{fact, until};
 }
 
-const gossip::EngineFact* LoadBook::Fact(const Endpoint& endpoint,
+const gossip::EngineStatus* LoadTracker::FindEngineStatus(const Endpoint& endpoint,
                                          TimePoint now) const {
   const auto found = this->facts.find(endpoint.id);
   if (found == this->facts.end()) return nullptr;
   const TimedFact& known = found->second;
-  const bool counts = now < known.until && known.fact.born == endpoint.born;
+  const bool counts = now < known.until && known.fact.start_time_ms == endpoint.start_time_ms;
   return counts ? &known.fact : nullptr;
 }
 
-placement::Engine LoadBook::ToEngine(const Endpoint& endpoint,
+placement::Engine LoadTracker::ToEngine(const Endpoint& endpoint,
                                      TimePoint now) const {
   placement::Engine engine;
   engine.id = endpoint.id;
@@ -205,8 +205,8 @@
   const gossip::EndpointLoad load = this->Total(endpoint.id);
   engine.answers = load.answers;
   engine.token_layers = load.token_layers;
-  engine.first_of = load.first_of;
-  if (const gossip::EngineFact* fact = this->Fact(endpoint, now)) {
+  engine.first_stage_answers = load.first_stage_answers;
+  if (const gossip::EngineStatus* fact = this->FindEngineStatus(endpoint, now)) {
     engine.layers = fact->layers;
     engine.slowdown = fact->slowdown;
     engine.token_layers = std::max(engine.token_layers, fact->token_layers);
--- a/lib/exchange/peer_exchange.cc
+++ b/lib/exchange/peer_exchange.cc
@@ -151,14 +151,14 @@
 }
 
 bool PeerExchange::IsGone(const std::string& id) const {
-  const membership::Member* member = this->members.Beliefs().Find(id);
+  const membership::Member* member = this->members.CurrentView().Find(id);
   if (member == nullptr) return false;
   return member->leaving || member->status == membership::Status::kDead;
 }
 
 std::vector<membership::Item> PeerExchange::Items(
     membership::ItemKind kind) const {
-  return this->members.Beliefs().Items(kind);
+  return this->members.CurrentView().Items(kind);
 }
 
 std::size_t PeerExchange::WatchPlace(const std::string& endpoint,
--- a/lib/gossip/deputies.cc
+++ b/lib/gossip/backup_leaders.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/gossip/deputies.h"
+#include "toucanwharf/gossip/backup_leaders.h"
 
 #include <algorithm>
 #include <set>
@@ -7,18 +7,18 @@
 
 namespace toucanwharf::gossip {
 
-std::vector<std::string> ChooseDeputies(std::vector<DeputyCandidate> candidates,
+std::vector<std::string> ChooseBackupLeaders(std::vector<BackupLeaderCandidate> candidates,
                                         const std::string& domain) {
   std::sort(candidates.begin(), candidates.end(),
-            [](const DeputyCandidate& left, const DeputyCandidate& right) {
+            [](const BackupLeaderCandidate& left, const BackupLeaderCandidate& right) {
               return std::tie(right.processor_share, left.address) <
                      std::tie(left.processor_share, right.address);
             });
   std::vector<std::string> chosen;
   std::set<std::string> domains = {domain};
   for (const bool elsewhere : {true, false}) {
-    for (const DeputyCandidate& one : candidates) {
-      if (chosen.size() == kDeputies) return chosen;
+    for (const BackupLeaderCandidate& one : candidates) {
+      if (chosen.size() == kBackupLeaders) return chosen;
       const bool known =
           std::find(chosen.begin(), chosen.end(), one.address) != chosen.end();
       if (known) continue;
@@ -29,28 +29,28 @@
   return chosen;
 }
 
-std::vector<std::string> ChooseDeputies(const PeerTable& peers,
+std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
                                         const std::string& domain,
                                         TimePoint now) {
-  std::vector<DeputyCandidate> candidates;
+  std::vector<BackupLeaderCandidate> candidates;
   for (const std::string& address : peers.Addresses(now)) {
     const Peer* peer = peers.Live(address, now);
     if (peer == nullptr || peer->beacon.stopping) continue;
     candidates.push_back(
         {address, peer->beacon.failure_domain, peer->beacon.processor_share});
   }
-  return ChooseDeputies(std::move(candidates), domain);
+  return ChooseBackupLeaders(std::move(candidates), domain);
 }
 
 bool ActsForLeader(const PeerTable& peers,
-                   const std::vector<std::string>& deputies,
+                   const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now) {
   if (!peers.Leader(now).empty()) return false;
   const auto first =
-      std::find_if(deputies.begin(), deputies.end(), [&](const auto& one) {
+      std::find_if(backup_leaders.begin(), backup_leaders.end(), [&](const auto& one) {
         return one == own || peers.Live(one, now) != nullptr;
       });
-  return first != deputies.end() && *first == own;
+  return first != backup_leaders.end() && *first == own;
 }
 
 }  // namespace toucanwharf::gossip
--- a/lib/gossip/beacon.cc
+++ b/lib/gossip/beacon.cc
@@ -34,7 +34,7 @@
   Json list = Json::array();
   for (const EndpointLoad& load : loads) {
     list.push_back({load.endpoint, Rounded(load.answers),
-                    Rounded(load.token_layers), Rounded(load.first_of)});
+                    Rounded(load.token_layers), Rounded(load.first_stage_answers)});
   }
   return list;
 }
@@ -46,7 +46,7 @@
     list.push_back(load.key);
     list.push_back(Rounded(load.answers));
     list.push_back(Rounded(load.token_layers / kThousand));
-    list.push_back(Rounded(load.first_of));
+    list.push_back(Rounded(load.first_stage_answers));
   }
   return list;
 }
@@ -66,14 +66,14 @@
 Json SuspicionsToJson(const std::vector<Suspicion>& suspicions) {
   Json list = Json::array();
   for (const Suspicion& one : suspicions) {
-    list.push_back({one.endpoint, one.remaining.count(), one.silent});
+    list.push_back({one.endpoint, one.remaining.count(), one.unresponsive});
   }
   return list;
 }
 
-Json FactsToJson(const std::vector<KeyedFact>& facts) {
+Json FactsToJson(const std::vector<KeyedEngineStatus>& facts) {
   Json list = Json::array();
-  for (const KeyedFact& fact : facts) {
+  for (const KeyedEngineStatus& fact : facts) {
     list.push_back(fact.key);
     list.push_back(fact.layers.begin);
     list.push_back(fact.layers.end);
@@ -102,9 +102,9 @@
   return suspicions;
 }
 
-std::vector<KeyedFact> FactsOf(const Json& list) {
+std::vector<KeyedEngineStatus> FactsOf(const Json& list) {
   constexpr std::size_t kMembers = 5;
-  std::vector<KeyedFact> facts;
+  std::vector<KeyedEngineStatus> facts;
   for (std::size_t at = 0; at < list.size(); at += kMembers) {
     facts.push_back({list.at(at).get<std::uint32_t>(),
                      pipeline::LayerRange{list.at(at + 1).get<std::uint32_t>(),
@@ -133,13 +133,13 @@
   beacon.endpoints_age = AgeOf(json.at("ea"));
   beacon.stamp = json.at("t").get<std::int64_t>();
   beacon.loads = LoadsOf(json.at("o"));
-  beacon.about = {json.at("kr").at(0).get<std::uint32_t>(),
+  beacon.covered_keys = {json.at("kr").at(0).get<std::uint32_t>(),
                   json.at("kr").at(1).get<std::uint32_t>()};
   beacon.fleet_loads = KeyedLoadsOf(json.at("fo"));
   beacon.suspicions = SuspicionsOf(json.at("q"));
-  beacon.facts = FactsOf(json.at("f"));
+  beacon.engine_statuses = FactsOf(json.at("f"));
   beacon.ready_instances = json.at("ri").get<std::vector<std::uint32_t>>();
-  beacon.deputies = json.at("dp").get<std::vector<std::string>>();
+  beacon.backup_leaders = json.at("dp").get<std::vector<std::string>>();
   beacon.peers = json.at("p").get<std::vector<std::string>>();
   return beacon;
 }
@@ -156,7 +156,7 @@
 
 }  // namespace
 
-void KeepToDatagram(Beacon& beacon) {
+void TrimToDatagram(Beacon& beacon) {
   // Beside one part of what the leader tells, both stay below 64 KB with ids of
   // 36 bytes.
   constexpr std::size_t kMostLoads = 500;
@@ -188,12 +188,12 @@
                      {"ea", AgeOrNull(beacon.endpoints_age)},
                      {"t", beacon.stamp},
                      {"o", LoadsToJson(beacon.loads)},
-                     {"kr", {beacon.about.first, beacon.about.last}},
+                     {"kr", {beacon.covered_keys.first, beacon.covered_keys.last}},
                      {"fo", KeyedLoadsToJson(beacon.fleet_loads)},
                      {"q", SuspicionsToJson(beacon.suspicions)},
-                     {"f", FactsToJson(beacon.facts)},
+                     {"f", FactsToJson(beacon.engine_statuses)},
                      {"ri", beacon.ready_instances},
-                     {"dp", beacon.deputies},
+                     {"dp", beacon.backup_leaders},
                      {"p", beacon.peers}};
   Json::to_cbor(json, nlohmann::detail::output_adapter<char>(this->common));
 }
--- a/lib/gossip/candidacy.cc
+++ b/lib/gossip/election_policy.cc
@@ -1,10 +1,10 @@
-#include "toucanwharf/gossip/candidacy.h"
+#include "toucanwharf/gossip/election_policy.h"
 
 #include <algorithm>
 
 namespace toucanwharf::gossip {
 
-bool Candidacy::MayTry(bool vacant, std::size_t ahead, TimePoint now) {
+bool ElectionPolicy::MayAttempt(bool vacant, std::size_t ahead, TimePoint now) {
   if (!vacant) {
     this->vacant_since.reset();
     return false;
--- a/lib/gossip/first_read.cc
+++ b/lib/gossip/initial_read_policy.cc
@@ -1,14 +1,14 @@
-#include "toucanwharf/gossip/first_read.h"
+#include "toucanwharf/gossip/initial_read_policy.h"
 
-#include "toucanwharf/gossip/rotation.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 
 namespace toucanwharf::gossip {
 
-bool FirstRead::MayRead(const std::optional<std::size_t>& instances,
+bool InitialReadPolicy::MayRead(const std::optional<std::size_t>& instances,
                         TimePoint now) const {
   if (this->strong) return true;
   const std::size_t count = instances.value_or(0);
-  const bool few = instances && count <= 1 + RotationSettings().everyone_up_to;
+  const bool few = instances && count <= 1 + BeaconScheduleSettings().everyone_up_to;
   if (few) return true;
   const Duration turns = this->settings.turn * static_cast<std::int64_t>(count);
   const Duration turn(static_cast<std::int64_t>(
--- a/lib/gossip/peer_table.cc
+++ b/lib/gossip/peer_table.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "toucanwharf/gossip/rotation.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 
 namespace toucanwharf::gossip {
 
@@ -27,7 +27,7 @@
   return true;
 }
 
-void PeerTable::NoteSign(const std::string& address, TimePoint now) {
+void PeerTable::RecordLiveness(const std::string& address, TimePoint now) {
   const auto found = this->entries.find(address);
   if (found != this->entries.end()) found->second.last_sign = now;
 }
@@ -36,13 +36,13 @@
   return this->AddressesOf(now, [](const Entry&) { return true; });
 }
 
-std::vector<std::string> PeerTable::AddressesNear(const std::string& domain,
+std::vector<std::string> PeerTable::AddressesInDomain(const std::string& domain,
                                                   TimePoint now) const {
   return this->AddressesOf(
       now, [&](const Entry& entry) { return MayBeIn(entry, domain); });
 }
 
-std::vector<std::string> PeerTable::AddressesFar(const std::string& domain,
+std::vector<std::string> PeerTable::AddressesInOtherDomains(const std::string& domain,
                                                  TimePoint now) const {
   return this->AddressesOf(
       now, [&](const Entry& entry) { return !MayBeIn(entry, domain); });
@@ -52,7 +52,7 @@
   const auto found = this->entries.find(address);
   if (found == this->entries.end() || !found->second.peer) return nullptr;
   const Peer& peer = *found->second.peer;
-  return now - peer.heard > this->settings.silent_after ? nullptr : &peer;
+  return now - peer.last_beacon_at > this->settings.silent_after ? nullptr : &peer;
 }
 
 std::vector<const Peer*> PeerTable::AllLive(TimePoint now) const {
@@ -64,38 +64,38 @@
   return live;
 }
 
-bool PeerTable::Large(TimePoint now) const {
-  return this->Instances(now) > 1 + RotationSettings().everyone_up_to;
+bool PeerTable::IsLargeFleet(TimePoint now) const {
+  return this->InstanceCount(now) > 1 + BeaconScheduleSettings().everyone_up_to;
 }
 
 std::string PeerTable::Leader(TimePoint now) const {
   for (const auto& [address, entry] : this->entries) {
     if (!entry.peer || !entry.peer->beacon.leads) continue;
     const bool heard =
-        now - entry.peer->heard <= this->settings.leader_silent_after;
+        now - entry.peer->last_beacon_at <= this->settings.leader_silent_after;
     if (heard) return address;
   }
   return {};
 }
 
-std::optional<Duration> PeerTable::HubsProofAge(
-    const std::vector<std::string>& deputies, TimePoint now) const {
-  std::vector<std::string> hubs = deputies;
-  hubs.push_back(this->Leader(now));
+std::optional<Duration> PeerTable::CoordinatorConfirmationAge(
+    const std::vector<std::string>& backup_leaders, TimePoint now) const {
+  std::vector<std::string> coordinators = backup_leaders;
+  coordinators.push_back(this->Leader(now));
   std::optional<Duration> newest;
-  for (const std::string& address : hubs) {
+  for (const std::string& address : coordinators) {
     const auto found = this->entries.find(address);
     if (found == this->entries.end() || !found->second.peer) continue;
     const Peer& peer = *found->second.peer;
-    if (now - peer.heard > this->settings.leader_silent_after) continue;
+    if (now - peer.last_beacon_at > this->settings.leader_silent_after) continue;
     if (!peer.beacon.configuration_age) continue;
-    const Duration age = *peer.beacon.configuration_age + (now - peer.heard);
+    const Duration age = *peer.beacon.configuration_age + (now - peer.last_beacon_at);
     newest = std::min(newest.value_or(age), age);
   }
   return newest;
 }
 
-std::size_t PeerTable::Ahead(double share, const std::string& callers_address,
+std::size_t PeerTable::CandidatesAhead(double share, const std::string& callers_address,
                              TimePoint now) const {
   const auto live = this->AllLive(now);
   const auto ahead =
@@ -110,7 +110,7 @@
   return static_cast<std::size_t>(ahead);
 }
 
-std::size_t PeerTable::Instances(TimePoint now) const {
+std::size_t PeerTable::InstanceCount(TimePoint now) const {
   std::size_t count = 1;
   for (const auto& [address, entry] : this->entries) {
     if (this->Counts(entry, now)) ++count;
@@ -124,7 +124,7 @@
     if (!this->Counts(entry, now)) continue;
     const Peer* peer = this->Live(address, now);
     const bool older =
-        peer != nullptr && peer->beacon.uptime + (now - peer->heard) >= lately;
+        peer != nullptr && peer->beacon.uptime + (now - peer->last_beacon_at) >= lately;
     if (!older) ++count;
   }
   return count;
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-std::optional<TimePoint> PeerTable::ConfigurationVouched(std::uint64_t revision,
+std::optional<TimePoint> PeerTable::ConfigurationConfirmedAt(std::uint64_t revision,
                                                          TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
@@ -162,7 +162,7 @@
   return best;
 }
 
-std::optional<TimePoint> PeerTable::EndpointsVouched(std::uint64_t revision,
+std::optional<TimePoint> PeerTable::EndpointsConfirmedAt(std::uint64_t revision,
                                                      TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
@@ -173,7 +173,7 @@
   return best;
 }
 
-std::optional<TimePoint> PeerTable::StoreAnswered(TimePoint now) const {
+std::optional<TimePoint> PeerTable::StoreAnsweredAt(TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
     best = Later(best, peer->beacon, this->own, peer->beacon.endpoints_age);
--- a/lib/gossip/roster.cc
+++ b/lib/gossip/ready_instance_list.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/gossip/roster.h"
+#include "toucanwharf/gossip/ready_instance_list.h"
 
 #include <arpa/inet.h>
 
@@ -24,14 +24,14 @@
   return std::string(text.data()) + ":" + port;
 }
 
-void Roster::Take(const std::vector<std::uint32_t>& told, TimePoint now) {
+void ReadyInstanceList::Update(const std::vector<std::uint32_t>& told, TimePoint now) {
   if (told.empty()) return;
   this->ready = told;
   this->taken = now;
 }
 
-bool Roster::Holds(TimePoint now) const {
-  return this->taken && now - *this->taken <= kHolds;
+bool ReadyInstanceList::IsCurrent(TimePoint now) const {
+  return this->taken && now - *this->taken <= kMaxAge;
 }
 
 }  // namespace toucanwharf::gossip
--- a/lib/instance/beliefs.cc
+++ b/lib/instance/beliefs.cc
@@ -40,22 +40,22 @@
     TimePoint now, const std::string& callers,
     const std::string& datagrams) const {
   std::vector<std::string> addresses;
-  if (this->leads || !this->roster.Holds(now)) {
+  if (this->leads || !this->ready_list.IsCurrent(now)) {
     for (const gossip::Peer* peer : this->peers.AllLive(now)) {
-      const bool lately = now - peer->heard <= kAdvisedFor;
+      const bool lately = now - peer->last_beacon_at <= kAdvisedFor;
       if (!lately || !peer->beacon.ready) continue;
       addresses.push_back(peer->beacon.callers_address);
     }
     return addresses;
   }
   const auto own = gossip::IpNumber(callers);
-  for (const std::uint32_t number : this->roster.Ready()) {
+  for (const std::uint32_t number : this->ready_list.Ready()) {
     if (number == own) continue;
     const gossip::Peer* peer = this->peers.Live(
         gossip::AddressOf(number, gossip::PortOf(datagrams)), now);
     // One that has just said that it stops is still in the leader's last word.
     const bool says_not = peer != nullptr && !peer->beacon.ready &&
-                          now - peer->heard <= gossip::Roster::kHolds;
+                          now - peer->last_beacon_at <= gossip::ReadyInstanceList::kMaxAge;
     if (says_not) continue;
     addresses.push_back(gossip::AddressOf(number, gossip::PortOf(callers)));
   }
--- a/lib/instance/endpoint_list_log.cc
+++ b/lib/instance/endpoint_list_log.cc
@@ -23,7 +23,7 @@
 void EndpointListLog::OnList(const endpoints::EndpointTable& table,
                              ListCause cause, bool changed,
                              std::int64_t unreadable, TimePoint now) {
-  const std::size_t kept = table.Kept();
+  const std::size_t kept = table.RetainedCount();
   const bool as_before = std::exchange(this->kept_before, kept) == kept;
   if (!changed && as_before) return;
   this->logger.Write(
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -156,12 +156,12 @@
 }
 
 std::size_t Gateway::Askers() const {
-  return this->beliefs.peers.Instances(this->loop.Now());
+  return this->beliefs.peers.InstanceCount(this->loop.Now());
 }
 
 bool Gateway::AsksWholePaths(TimePoint now) const {
   return this->settings.mechanisms.engine_questions &&
-         !this->beliefs.peers.Large(now);
+         !this->beliefs.peers.IsLargeFleet(now);
 }
 
 void Gateway::Doubt(const std::vector<pipeline::Stage>& engines,
@@ -175,7 +175,7 @@
   this->probe.Ask(stage.address, since, this->Askers(),
                   [this, id = stage.endpoint](const ProbeAnswer& answer) {
                     if (answer.alive) {
-                      this->beliefs.loads.Answered(id, this->loop.Now());
+                      this->beliefs.loads.OnResponse(id, this->loop.Now());
                     } else {
                       this->NoteSilent(id);
                     }
@@ -185,7 +185,7 @@
 void Gateway::NoteSilent(const std::string& endpoint) {
   const TimePoint now = this->loop.Now();
   const bool news =
-      this->beliefs.loads.FoundSilent(endpoint, now + kSilentFor, now);
+      this->beliefs.loads.MarkUnresponsive(endpoint, now + kSilentFor, now);
   if (!news) return;
   this->logger.Write(Level::kNotable, "engine_silent",
                      Fields().Text("endpoint", endpoint), now);
@@ -200,9 +200,9 @@
   for (const auto& one : all) one->OnEngineSilent(endpoint);
 }
 
-std::vector<endpoints::AnswerSign> Gateway::SignsBeside(
+std::vector<endpoints::LivenessEvidence> Gateway::SignsBeside(
     const Passage& except) const {
-  std::vector<endpoints::AnswerSign> signs;
+  std::vector<endpoints::LivenessEvidence> signs;
   for (const Passage* one : this->passages) {
     if (one == &except) continue;
     if (auto sign = one->Sign()) signs.push_back(std::move(*sign));
--- a/lib/instance/metrics.cc
+++ b/lib/instance/metrics.cc
@@ -110,7 +110,7 @@
                static_cast<double>(beliefs.endpoints.All().size()));
   writer.Gauge("endpoints_kept",
                "endpoints in use though the newest list lacks them",
-               static_cast<double>(beliefs.endpoints.Kept()));
+               static_cast<double>(beliefs.endpoints.RetainedCount()));
   writer.Gauge("peers", "other instances heard of lately",
                static_cast<double>(beliefs.peers.AllLive(now).size()));
   writer.Gauge("ready", "whether callers are sent here",
--- a/lib/instance/passage.cc
+++ b/lib/instance/passage.cc
@@ -497,7 +497,7 @@
 
 void Passage::ReleaseLoad() {
   for (const auto& load : this->counted) {
-    this->gateway.beliefs.loads.Ended(load);
+    this->gateway.beliefs.loads.RemoveInFlight(load);
   }
   this->counted.clear();
 }
--- a/lib/instance/passage.h
+++ b/lib/instance/passage.h
@@ -63,7 +63,7 @@
   void OnEngineSilent(const std::string& endpoint);
   /// Returns what the answer shows of the engines that it runs through; nothing
   /// before its first event from them.
-  std::optional<endpoints::AnswerSign> Sign() const;
+  std::optional<endpoints::LivenessEvidence> Sign() const;
 
  private:
   /// Where a try goes.
--- a/lib/instance/passage_silence.cc
+++ b/lib/instance/passage_silence.cc
@@ -78,15 +78,15 @@
   const TimePoint now = this->gateway.loop.Now();
   const auto& stages = this->target.stages;
   return std::any_of(stages.begin(), stages.end(), [&](const auto& stage) {
-    return this->gateway.beliefs.loads.Silent(stage.endpoint, now);
+    return this->gateway.beliefs.loads.IsUnresponsive(stage.endpoint, now);
   });
 }
 
-std::optional<endpoints::AnswerSign> Passage::Sign() const {
+std::optional<endpoints::LivenessEvidence> Passage::Sign() const {
   const bool shows =
       this->call != 0 && this->any_event && this->last_data > this->try_began;
   if (!shows) return std::nullopt;
-  return endpoints::AnswerSign{this->target.stages, this->last_data};
+  return endpoints::LivenessEvidence{this->target.stages, this->last_data};
 }
 
 void Passage::OnEngineSilent(const std::string& endpoint) {
@@ -143,7 +143,7 @@
   if (!this->gateway.AsksWholePaths(now)) return;
   const TimePoint since =
       this->last_data + this->Patience() * kSignAfterPercent / kPercent;
-  auto doubted = endpoints::DoubtedEngines(this->target.stages, since,
+  auto doubted = endpoints::EnginesWithoutEvidence(this->target.stages, since,
                                            this->gateway.SignsBeside(*this));
   std::erase_if(doubted, [this](const pipeline::Stage& stage) {
     return stage.endpoint == this->target.endpoint;
@@ -197,7 +197,7 @@
   ++this->gateway.counters.stalls;
   const TimePoint now = this->gateway.loop.Now();
   const bool first_silent =
-      this->gateway.beliefs.loads.Silent(this->target.endpoint, now);
+      this->gateway.beliefs.loads.IsUnresponsive(this->target.endpoint, now);
   const bool resume_first = this->gateway.settings.mechanisms.resume_first;
   if (first_silent || (resume_first && this->HasPlaceElsewhere())) {
     this->TryElsewhere("engine_silent");
--- a/lib/instance/passage_target.cc
+++ b/lib/instance/passage_target.cc
@@ -19,8 +19,8 @@
       this->what.service->name, [&](const endpoints::Endpoint& endpoint) {
         // A full engine can keep what it holds of the answer.
         const bool held = RunsThrough(current, endpoint.id);
-        const bool unfit = held ? beliefs.loads.Silent(endpoint.id, now)
-                                : beliefs.loads.Suspected(endpoint.id, now);
+        const bool unfit = held ? beliefs.loads.IsUnresponsive(endpoint.id, now)
+                                : beliefs.loads.IsSuspected(endpoint.id, now);
         if (unfit) return;
         engines.push_back(beliefs.loads.ToEngine(endpoint, now));
       });
@@ -33,7 +33,7 @@
   placement::PathSettings settings;
   const Mechanisms& mechanisms = this->gateway.settings.mechanisms;
   settings.crowding_price = mechanisms.crowding_price;
-  if (beliefs.peers.Large(now)) {
+  if (beliefs.peers.IsLargeFleet(now)) {
     if (mechanisms.entry_choices) {
       settings.entry_choices = placement::kEntryChoicesInLargeFleet;
     }
@@ -66,7 +66,7 @@
         constexpr double kSuspectedCost = 1000;
         const double cost =
             (load.answers + this->gateway.random.Unit()) / endpoint.slots +
-            (beliefs.loads.Suspected(endpoint.id, now) ? kSuspectedCost : 0);
+            (beliefs.loads.IsSuspected(endpoint.id, now) ? kSuspectedCost : 0);
         if (best && cost >= least) return;
         least = cost;
         best = Target{endpoint.id, endpoint.address, {}, 0};
@@ -116,7 +116,7 @@
         {stage.endpoint, 1, tokens * stage.layers.Count(), first ? 1.0 : 0.0});
   }
   for (const auto& load : this->counted) {
-    this->gateway.beliefs.loads.Began(load);
+    this->gateway.beliefs.loads.AddInFlight(load);
   }
 }
 
--- a/lib/instance/peer_copies.cc
+++ b/lib/instance/peer_copies.cc
@@ -46,7 +46,7 @@
   Json entries = Json::array();
   for (const endpoints::Endpoint& one : all) {
     entries.push_back(
-        {one.id, one.born, one.service, one.address, one.failure_domain,
+        {one.id, one.start_time_ms, one.service, one.address, one.failure_domain,
          one.slots, one.state == endpoints::EndpointState::kDraining, one.kind,
          one.layers.begin, one.layers.end, one.sequence});
   }
@@ -60,7 +60,7 @@
     endpoints::Endpoint endpoint;
     std::size_t at = 0;
     endpoint.id = one.at(at++).get<std::string>();
-    endpoint.born = one.at(at++).get<std::uint64_t>();
+    endpoint.start_time_ms = one.at(at++).get<std::uint64_t>();
     endpoint.service = one.at(at++).get<std::string>();
     endpoint.address = one.at(at++).get<std::string>();
     endpoint.failure_domain = one.at(at++).get<std::string>();
@@ -87,25 +87,25 @@
 
 }  // namespace
 
-std::string EndpointsToText(const endpoints::SharedList& list) {
+std::string EndpointsToText(const endpoints::EndpointListSnapshot& list) {
   return Json{{"revision", list.revision},
-              {"kept_for_us", list.kept_for.count()},
+              {"kept_for_us", list.retained_for.count()},
               {"entries", ToJson(list.endpoints)},
-              {"kept", ToJson(list.kept)}}
+              {"kept", ToJson(list.retained)}}
       .dump();
 }
 
-std::optional<endpoints::SharedList> EndpointsFromText(
+std::optional<endpoints::EndpointListSnapshot> EndpointsFromText(
     const std::string& text) {
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   // A peer of another build may write another shape; such a list is none.
   try {
-    endpoints::SharedList list;
+    endpoints::EndpointListSnapshot list;
     list.revision = json.at("revision").get<std::uint64_t>();
-    list.kept_for = Duration(json.at("kept_for_us").get<std::int64_t>());
+    list.retained_for = Duration(json.at("kept_for_us").get<std::int64_t>());
     list.endpoints = FromJson(json.at("entries"));
-    list.kept = FromJson(json.at("kept"));
+    list.retained = FromJson(json.at("kept"));
     return list;
   } catch (const Json::exception&) {
     return std::nullopt;
@@ -151,7 +151,7 @@
     if (revision <= this->KnownHere(kind)) continue;
     if (std::exchange(this->Fetching(kind), true)) continue;
     // A process that has none serves nobody until it comes.
-    const bool waits = this->beliefs.peers.Large(this->loop.Now()) &&
+    const bool waits = this->beliefs.peers.IsLargeFleet(this->loop.Now()) &&
                        this->KnownHere(kind) > 0;
     const Duration delay = waits ? this->UpTo(kFetchSpread) : Duration(0);
     this->FetchAfter(delay, {kind, revision, beacon.control_address, 0});
@@ -226,12 +226,12 @@
 }
 
 std::string PeerCopies::SourceOf(const Wanted& wanted, TimePoint now) {
-  if (!this->beliefs.peers.Large(now)) return wanted.teller;
+  if (!this->beliefs.peers.IsLargeFleet(now)) return wanted.teller;
   std::vector<const gossip::Peer*> near;
   for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
     const gossip::Beacon& beacon = peer->beacon;
     // A peer that was heard of long ago may be gone.
-    const bool lately = now - peer->heard <= kFetchSpread * 2;
+    const bool lately = now - peer->last_beacon_at <= kFetchSpread * 2;
     const bool has = RevisionIn(beacon, wanted.kind) >= wanted.revision;
     const bool in_domain = beacon.failure_domain == this->failure_domain;
     if (lately && has && in_domain) near.push_back(peer);
@@ -247,7 +247,7 @@
 
 bool PeerCopies::Has(Kind kind) const {
   return kind == Kind::kConfiguration ? this->beliefs.table != nullptr
-                                      : this->beliefs.endpoints.ChangedAt() > 0;
+                                      : this->beliefs.endpoints.ChangedRevision() > 0;
 }
 
 const PeerCopies::Copy& PeerCopies::Renewed(Kind kind) {
@@ -255,9 +255,9 @@
   const bool of_endpoints = kind == Kind::kEndpoints;
   Copy& copy = of_endpoints ? this->endpoints : this->configuration;
   const std::uint64_t revision =
-      of_endpoints ? table.ChangedAt() : this->beliefs.configuration_revision;
+      of_endpoints ? table.ChangedRevision() : this->beliefs.configuration_revision;
   // While endpoints are kept the text tells for how much longer.
-  const std::size_t kept = of_endpoints ? table.Kept() : 0;
+  const std::size_t kept = of_endpoints ? table.RetainedCount() : 0;
   if (copy.revision == revision && copy.kept == 0 && kept == 0) return copy;
   copy.text = of_endpoints ? EndpointsToText(table.Share(this->loop.Now()))
                            : this->beliefs.configuration_text;
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -8,7 +8,7 @@
 namespace toucanwharf::instance {
 namespace {
 
-using endpoints::LoadBook;
+using endpoints::LoadTracker;
 using eventlog::Fields;
 using eventlog::Level;
 using gossip::PortOf;
@@ -84,47 +84,47 @@
 }
 
 void PeerLink::AddRegistered(
-    const std::vector<gossip::DeputyCandidate>& registered) {
-  std::vector<gossip::DeputyCandidate> candidates = registered;
-  for (gossip::DeputyCandidate& one : candidates) {
+    const std::vector<gossip::BackupLeaderCandidate>& registered) {
+  std::vector<gossip::BackupLeaderCandidate> candidates = registered;
+  for (gossip::BackupLeaderCandidate& one : candidates) {
     this->AddInstance(one.address);
     one.address = this->DatagramAddressOf(one.address);
   }
-  const bool wanted = this->beliefs.peers.Large(this->loop.Now()) &&
-                      this->beliefs.deputies.empty();
+  const bool wanted = this->beliefs.peers.IsLargeFleet(this->loop.Now()) &&
+                      this->beliefs.backup_leaders.empty();
   if (!wanted) return;
-  this->SetDeputies(gossip::ChooseDeputies(std::move(candidates), ""));
+  this->SetBackupLeaders(gossip::ChooseBackupLeaders(std::move(candidates), ""));
 }
 
-void PeerLink::SetDeputies(std::vector<std::string> addresses) {
-  this->beliefs.deputies = std::move(addresses);
-  const auto& all = this->beliefs.deputies;
-  this->beliefs.deputy =
+void PeerLink::SetBackupLeaders(std::vector<std::string> addresses) {
+  this->beliefs.backup_leaders = std::move(addresses);
+  const auto& all = this->beliefs.backup_leaders;
+  this->beliefs.is_backup_leader =
       std::find(all.begin(), all.end(), this->settings.datagram_address) !=
       all.end();
 }
 
 void PeerLink::Tick() {
   const TimePoint now = this->loop.Now();
-  const bool large = this->beliefs.peers.Large(now);
+  const bool large = this->beliefs.peers.IsLargeFleet(now);
   const bool leads = this->beliefs.leads;
-  const bool hub = leads || this->beliefs.deputy;
-  if (!hub) this->hub_since.reset();
-  if (hub && !this->hub_since) this->hub_since = now;
-  const bool led = leads || !large || this->beliefs.roster.Holds(now) ||
+  const bool coordinator = leads || this->beliefs.is_backup_leader;
+  if (!coordinator) this->coordinator_since.reset();
+  if (coordinator && !this->coordinator_since) this->coordinator_since = now;
+  const bool led = leads || !large || this->beliefs.ready_list.IsCurrent(now) ||
                    !this->beliefs.peers.Leader(now).empty();
-  this->beliefs.loads.AssumeAlike(led ? 0
-                                      : this->beliefs.peers.Instances(now) - 1);
+  this->beliefs.loads.AssumeEqualPeerLoad(led ? 0
+                                      : this->beliefs.peers.InstanceCount(now) - 1);
   const std::size_t near =
-      this->beliefs.peers.AddressesNear(this->settings.failure_domain, now)
+      this->beliefs.peers.AddressesInDomain(this->settings.failure_domain, now)
           .size();
-  this->beliefs.peers.SetSilentAfter(
-      this->HearsAll(now) ? gossip::RotationSettings().least_silence
-                          : this->rotation.SilentAfter(near));
+  this->beliefs.peers.SetPeerTimeout(
+      this->HearsAll(now) ? gossip::BeaconScheduleSettings().min_peer_timeout
+                          : this->rotation.PeerTimeout(near));
   this->AdoptProofs(now);
-  if (large && hub) this->SumLoads(now);
+  if (large && coordinator) this->SumLoads(now);
   auto told = this->rotation.Next(this->MakeAudience(now));
-  if (this->rotation.WentToEveryone()) {
+  if (this->rotation.LastRoundWasBroadcast()) {
     this->about = this->ranges.Next(this->beliefs.endpoints.All().size());
   }
   this->Tell(std::move(told), 0);
@@ -132,31 +132,31 @@
   this->loop.After(this->rotation.Period(), [this] { this->Tick(); });
 }
 
-gossip::Audience PeerLink::MakeAudience(TimePoint now) const {
+gossip::BeaconTargets PeerLink::MakeAudience(TimePoint now) const {
   const gossip::PeerTable& peers = this->beliefs.peers;
-  gossip::Audience audience;
-  audience.near = peers.AddressesNear(this->settings.failure_domain, now);
-  audience.far = peers.AddressesFar(this->settings.failure_domain, now);
+  gossip::BeaconTargets audience;
+  audience.same_domain = peers.AddressesInDomain(this->settings.failure_domain, now);
+  audience.other_domains = peers.AddressesInOtherDomains(this->settings.failure_domain, now);
   audience.leader = peers.Leader(now);
-  audience.deputies = this->OtherDeputies(audience.leader);
-  audience.is_hub = this->beliefs.leads || this->beliefs.deputy;
+  audience.backup_leaders = this->OtherBackupLeaders(audience.leader);
+  audience.is_coordinator = this->beliefs.leads || this->beliefs.is_backup_leader;
   return audience;
 }
 
-std::vector<std::string> PeerLink::OtherDeputies(
+std::vector<std::string> PeerLink::OtherBackupLeaders(
     const std::string& leader) const {
   std::vector<std::string> others;
-  for (const std::string& one : this->beliefs.deputies) {
+  for (const std::string& one : this->beliefs.backup_leaders) {
     const bool other = one != this->settings.datagram_address && one != leader;
     if (other) others.push_back(one);
   }
   return others;
 }
 
-/// Two deputies tell the same, and hear the same.
+/// Two backup leaders tell the same, and hear the same.
 bool PeerLink::SpeaksForFleet(TimePoint now) const {
   if (this->beliefs.leads) return true;
-  return this->beliefs.deputy && this->HearsAll(now) &&
+  return this->beliefs.is_backup_leader && this->HearsAll(now) &&
          this->beliefs.peers.Leader(now).empty();
 }
 
@@ -177,35 +177,35 @@
 }
 
 bool PeerLink::HearsAll(TimePoint now) const {
-  return this->hub_since && now - *this->hub_since >= kAllHeardAfter;
+  return this->coordinator_since && now - *this->coordinator_since >= kAllHeardAfter;
 }
 
 void PeerLink::Announce() {
   // Many things may change in one moment; one message tells of them all.
   if (this->announcing) return;
   this->announcing = true;
-  const bool large = this->beliefs.peers.Large(this->loop.Now());
+  const bool large = this->beliefs.peers.IsLargeFleet(this->loop.Now());
   const bool at_once = !large || this->beliefs.stopping_since;
   this->loop.After(at_once ? Duration(0) : kGatherNews, [this] {
     this->announcing = false;
     const TimePoint now = this->loop.Now();
     this->SendTo(
         this->beliefs.peers.Addresses(now),
-        this->beliefs.peers.Large(now) ? Content::kOwn : Content::kFleet);
+        this->beliefs.peers.IsLargeFleet(now) ? Content::kOwn : Content::kFleet);
   });
 }
 
 void PeerLink::AnnounceChange() {
   const bool by_leader =
-      this->beliefs.peers.Large(this->loop.Now()) && !this->beliefs.leads;
+      this->beliefs.peers.IsLargeFleet(this->loop.Now()) && !this->beliefs.leads;
   if (!by_leader) this->Announce();
 }
 
 void PeerLink::AnnounceToDomain() {
   const TimePoint now = this->loop.Now();
   const gossip::PeerTable& peers = this->beliefs.peers;
-  if (!peers.Large(now)) return;
-  this->SendTo(peers.AddressesNear(this->settings.failure_domain, now),
+  if (!peers.IsLargeFleet(now)) return;
+  this->SendTo(peers.AddressesInDomain(this->settings.failure_domain, now),
                Content::kOwn);
 }
 
@@ -213,7 +213,7 @@
   const TimePoint now = this->loop.Now();
   const std::string leader = this->beliefs.peers.Leader(now);
   const bool by_leader =
-      this->beliefs.peers.Large(now) && !this->beliefs.leads && !leader.empty();
+      this->beliefs.peers.IsLargeFleet(now) && !this->beliefs.leads && !leader.empty();
   if (by_leader) {
     this->SendTo({leader}, Content::kOwn);
   } else {
@@ -234,25 +234,25 @@
   beacon.leads = this->beliefs.leads;
   beacon.configuration_revision = this->beliefs.configuration_revision;
   beacon.configuration_age = this->beliefs.freshness.Age(now);
-  beacon.endpoints_revision = this->beliefs.endpoints.ChangedAt();
+  beacon.endpoints_revision = this->beliefs.endpoints.ChangedRevision();
   if (const auto confirmed = this->beliefs.endpoints.ConfirmedAt()) {
     beacon.endpoints_age = now - *confirmed;
   }
   beacon.stamp = now.since_start.count();
-  beacon.loads = this->beliefs.loads.Own();
+  beacon.loads = this->beliefs.loads.Local();
   beacon.suspicions = this->beliefs.loads.Suspicions(now, this->beliefs.leads);
   return beacon;
 }
 
 void PeerLink::AddFleet(gossip::Beacon& beacon, TimePoint now) const {
-  beacon.about = this->about;
-  for (const gossip::EngineFact& fact : this->facts) {
+  beacon.covered_keys = this->about;
+  for (const gossip::EngineStatus& fact : this->facts) {
     const endpoints::Endpoint* endpoint =
         this->beliefs.endpoints.Find(fact.endpoint);
-    if (endpoint == nullptr || endpoint->born != fact.born) continue;
+    if (endpoint == nullptr || endpoint->start_time_ms != fact.start_time_ms) continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
-    beacon.facts.push_back(
+    beacon.engine_statuses.push_back(
         {key, fact.layers, fact.slowdown, fact.token_layers});
   }
   if (!this->SpeaksForFleet(now)) return;
@@ -263,12 +263,12 @@
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
     beacon.fleet_loads.push_back(
-        {key, load.answers, load.token_layers, load.first_of});
+        {key, load.answers, load.token_layers, load.first_stage_answers});
   }
-  const bool tells_all = this->beliefs.peers.Large(now) && this->HearsAll(now);
+  const bool tells_all = this->beliefs.peers.IsLargeFleet(now) && this->HearsAll(now);
   if (tells_all) beacon.ready_instances = this->ReadyInstances(now);
   if (tells_all && this->beliefs.leads) {
-    beacon.deputies = gossip::ChooseDeputies(
+    beacon.backup_leaders = gossip::ChooseBackupLeaders(
         this->beliefs.peers, this->settings.failure_domain, now);
   }
 }
@@ -290,16 +290,16 @@
   if (addresses.empty()) return;
   const TimePoint now = this->loop.Now();
   gossip::Beacon beacon = this->MakeBeacon(now);
-  gossip::KeepToDatagram(beacon);
+  gossip::TrimToDatagram(beacon);
   if (content == Content::kFleet) this->AddFleet(beacon, now);
   const gossip::EncodedBeacon usual(beacon);
   const std::string leader = this->beliefs.peers.Leader(now);
-  const auto deputies = this->OtherDeputies(leader);
-  // In a large fleet only the leader and its deputies add up what the others
+  const auto backup_leaders = this->OtherBackupLeaders(leader);
+  // In a large fleet only the leader and its backup leaders add up what the others
   // have under way, and tell all of them the sum: the single loads are most of
   // a beacon.
   gossip::Beacon brief = beacon;
-  if (this->beliefs.peers.Large(now)) brief.loads.clear();
+  if (this->beliefs.peers.IsLargeFleet(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
   auto known = this->beliefs.peers.Addresses(now);
   std::shuffle(known.begin(), known.end(), this->random);
@@ -312,7 +312,7 @@
     const bool introduce = this->MayKnowNobody(address, now);
     const bool to_hub =
         address == leader ||
-        std::find(deputies.begin(), deputies.end(), address) != deputies.end();
+        std::find(backup_leaders.begin(), backup_leaders.end(), address) != backup_leaders.end();
     const gossip::EncodedBeacon& known_as = to_hub ? usual : to_followers;
     const std::string bytes =
         (introduce ? introducing : known_as).For(last.at, last.instance);
@@ -335,12 +335,12 @@
 /// those of other failure domains are seldom heard of, but once is enough.
 bool PeerLink::MayKnowNobody(const std::string& address, TimePoint now) const {
   const gossip::PeerTable& peers = this->beliefs.peers;
-  return peers.Large(now) ? !peers.Heard(address)
+  return peers.IsLargeFleet(now) ? !peers.EverContacted(address)
                           : peers.Live(address, now) == nullptr;
 }
 
 void PeerLink::LogPeers(TimePoint now) {
-  const bool hears_few = this->beliefs.peers.Large(now) && !this->beliefs.leads;
+  const bool hears_few = this->beliefs.peers.IsLargeFleet(now) && !this->beliefs.leads;
   std::set<std::string> live;
   for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
     // Those of other failure domains are heard of about once a minute.
@@ -384,15 +384,15 @@
   for (const gossip::Suspicion& one : beacon.suspicions) {
     this->AdoptSuspicion(one, now);
   }
-  const bool large = this->beliefs.peers.Large(now);
+  const bool large = this->beliefs.peers.IsLargeFleet(now);
   const bool speaks =
-      beacon.leads || !beacon.facts.empty() || !beacon.ready_instances.empty();
+      beacon.leads || !beacon.engine_statuses.empty() || !beacon.ready_instances.empty();
   if (speaks) this->AdoptFleet(beacon, now);
   if (!large) this->SumLoads(now);
   // Hundreds of beacons a second come to the leader of a large fleet, and to
   // look through all peers for each of them is most of its time. The next
   // round takes what they prove.
-  const bool hears_few = !this->beliefs.leads && !this->beliefs.deputy;
+  const bool hears_few = !this->beliefs.leads && !this->beliefs.is_backup_leader;
   if (!large || hears_few) this->AdoptProofs(now);
 }
 
@@ -401,53 +401,53 @@
 /// all lately.
 void PeerLink::AdoptFleet(const gossip::Beacon& beacon, TimePoint now) {
   // The turn of a part comes after that of all others.
-  const auto others = static_cast<std::int64_t>(beacon.about.Parts() - 1);
+  const auto others = static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
   const TimePoint facts_until =
-      now + kFactsFor + this->rotation.HubPeriod() * others;
-  for (const gossip::KeyedFact& fact : beacon.facts) {
+      now + kFactsFor + this->rotation.CoordinatorPeriod() * others;
+  for (const gossip::KeyedEngineStatus& fact : beacon.engine_statuses) {
     const endpoints::Endpoint* endpoint =
         this->beliefs.endpoints.FindByKey(fact.key);
     if (endpoint == nullptr) continue;
-    this->beliefs.loads.SetFact({endpoint->id, endpoint->born, fact.layers,
+    this->beliefs.loads.SetEngineStatus({endpoint->id, endpoint->start_time_ms, fact.layers,
                                  fact.slowdown, fact.token_layers},
                                 facts_until);
   }
-  const bool follows = this->beliefs.peers.Large(now) && !this->beliefs.leads;
+  const bool follows = this->beliefs.peers.IsLargeFleet(now) && !this->beliefs.leads;
   if (!follows) return;
-  this->beliefs.roster.Take(beacon.ready_instances, now);
-  if (!beacon.deputies.empty()) this->SetDeputies(beacon.deputies);
+  this->beliefs.ready_list.Update(beacon.ready_instances, now);
+  if (!beacon.backup_leaders.empty()) this->SetBackupLeaders(beacon.backup_leaders);
   const std::string port = PortOf(this->settings.datagram_address);
   for (const std::uint32_t number : beacon.ready_instances) {
-    this->beliefs.peers.NoteSign(gossip::AddressOf(number, port), now);
+    this->beliefs.peers.RecordLiveness(gossip::AddressOf(number, port), now);
   }
   // Without loads, only one that hears all says that endpoints are idle.
   const bool tells_loads =
       !beacon.fleet_loads.empty() || !beacon.ready_instances.empty();
-  // A deputy adds up what it hears itself.
-  if (!tells_loads || this->beliefs.deputy) return;
-  this->fleet_loads.Take(beacon.about, beacon.fleet_loads);
+  // A backup leader adds up what it hears itself.
+  if (!tells_loads || this->beliefs.is_backup_leader) return;
+  this->fleet_loads.Update(beacon.covered_keys, beacon.fleet_loads);
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::KeyedLoad& load : this->fleet_loads.All()) {
     const endpoints::Endpoint* endpoint =
         this->beliefs.endpoints.FindByKey(load.key);
     if (endpoint == nullptr) continue;
     loads.push_back(
-        {endpoint->id, load.answers, load.token_layers, load.first_of});
+        {endpoint->id, load.answers, load.token_layers, load.first_stage_answers});
   }
-  this->beliefs.loads.SetFleet(loads);
+  this->beliefs.loads.SetFleetLoads(loads);
 }
 
 void PeerLink::AdoptProofs(TimePoint now) {
-  const auto configuration = this->beliefs.peers.ConfigurationVouched(
+  const auto configuration = this->beliefs.peers.ConfigurationConfirmedAt(
       this->beliefs.configuration_revision, now);
   if (configuration && this->beliefs.table) {
     this->beliefs.freshness.Confirm(*configuration);
   }
-  if (const auto answered = this->beliefs.peers.StoreAnswered(now)) {
+  if (const auto answered = this->beliefs.peers.StoreAnsweredAt(now)) {
     this->beliefs.endpoints.OnStoreAnswered(*answered, now);
   }
   const std::uint64_t revision = this->beliefs.endpoints.Revision();
-  const auto listed = this->beliefs.peers.EndpointsVouched(revision, now);
+  const auto listed = this->beliefs.peers.EndpointsConfirmedAt(revision, now);
   if (!listed || revision == 0) return;
   if (!this->beliefs.endpoints.Confirm(*listed, now)) return;
   this->lists.OnList(this->beliefs.endpoints, ListCause::kGraceOver, true, 0,
@@ -455,16 +455,16 @@
 }
 
 void PeerLink::AdoptSuspicion(const gossip::Suspicion& one, TimePoint now) {
-  LoadBook& loads = this->beliefs.loads;
+  LoadTracker& loads = this->beliefs.loads;
   const TimePoint until = now + std::min(one.remaining, kLongestSuspicion);
-  if (!one.silent) {
+  if (!one.unresponsive) {
     loads.Suspect(one.endpoint, until);
     return;
   }
-  if (!loads.HeardSilent(one.endpoint, until, now)) return;
+  if (!loads.MarkReportedUnresponsive(one.endpoint, until, now)) return;
   this->logger.Write(Level::kNotable, "peer_found_engine_silent",
                      Fields().Text("endpoint", one.endpoint), now);
-  if (this->beliefs.leads && this->beliefs.peers.Large(now)) this->Announce();
+  if (this->beliefs.leads && this->beliefs.peers.IsLargeFleet(now)) this->Announce();
   if (this->engine_silent) this->engine_silent(one.endpoint);
 }
 
@@ -472,12 +472,12 @@
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::Peer* peer : this->beliefs.peers.AllLive(now)) {
     const bool counts = !this->settings.mechanisms.silent_peers ||
-                        now - peer->heard <= kLoadsCountFor;
+                        now - peer->last_beacon_at <= kLoadsCountFor;
     if (!counts) continue;
     const auto& theirs = peer->beacon.loads;
     loads.insert(loads.end(), theirs.begin(), theirs.end());
   }
-  this->beliefs.loads.SetPeers(loads);
+  this->beliefs.loads.SetPeerLoads(loads);
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/placement/path_finder.cc
+++ b/lib/placement/path_finder.cc
@@ -87,7 +87,7 @@
       const AcceleratorKind* kind = this->model.FindKind(engine.kind);
       if (kind == nullptr) continue;
       if (this->scope.need_room && this->model.slots > 0 &&
-          engine.layers.begin == 0 && engine.first_of >= this->model.slots) {
+          engine.layers.begin == 0 && engine.first_stage_answers >= this->model.slots) {
         continue;
       }
       this->used.push_back(at);
--- a/lib/platform/client.cc
+++ b/lib/platform/client.cc
@@ -113,13 +113,13 @@
     : loop(event_loop),
       http(http_client),
       address(std::move(platform_address)),
-      gate(store::GateLimits{}, Random(seed)),
-      watch_gate(store::GateLimits{}, Random(MixBits(seed))) {}
+      gate(store::CallLimits{}, Random(seed)),
+      watch_gate(store::CallLimits{}, Random(MixBits(seed))) {}
 
-void Client::Enter(HttpCall call, store::CallGate& through, Done done,
+void Client::Enter(HttpCall call, store::CallLimiter& through, Done done,
                    TimePoint give_up) {
   const TimePoint now = this->loop.Now();
-  if (!through.TryEnter(now)) {
+  if (!through.TryAcquire(now)) {
     if (now >= give_up) {
       done(HttpOutcome{});
       return;
@@ -146,7 +146,7 @@
   this->http.Start(std::move(call), {nullptr, on_done});
 }
 
-void Client::Start(HttpCall call, store::CallGate& through, Done done) {
+void Client::Start(HttpCall call, store::CallLimiter& through, Done done) {
   call.url = "http://" + this->address + call.url;
   const TimePoint give_up = this->loop.Now() + kLongestHold;
   auto enter = [this, call = std::move(call), &through, done = std::move(done),
--- a/lib/store/call_gate.cc
+++ b/lib/store/call_limiter.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/store/call_gate.h"
+#include "toucanwharf/store/call_limiter.h"
 
 #include <algorithm>
 #include <cassert>
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-CallGate::CallGate(const GateLimits& gate_limits, Random source)
+CallLimiter::CallLimiter(const CallLimits& gate_limits, Random source)
     : limits(gate_limits), random(source), tokens(gate_limits.burst) {
   assert(gate_limits.calls_per_second > 0 && gate_limits.burst >= 1);
 }
 
-void CallGate::Refill(TimePoint now) {
+void CallLimiter::Refill(TimePoint now) {
   const double earned =
       Seconds(now - this->refilled_at) * this->limits.calls_per_second;
   // While calls fail nothing is saved up: the return starts without a burst.
@@ -28,7 +28,7 @@
   this->refilled_at = now;
 }
 
-bool CallGate::TryEnter(TimePoint now) {
+bool CallLimiter::TryAcquire(TimePoint now) {
   this->Refill(now);
   if (this->failures > 0) {
     if (this->in_flight > 0 || now < this->closed_until) return false;
@@ -39,12 +39,12 @@
   return true;
 }
 
-void CallGate::OnSuccess() {
+void CallLimiter::OnSuccess() {
   if (this->in_flight > 0) --this->in_flight;
   this->failures = 0;
 }
 
-void CallGate::OnFailure(TimePoint now) {
+void CallLimiter::OnFailure(TimePoint now) {
   if (this->in_flight > 0) --this->in_flight;
   const std::uint32_t doublings = std::min(this->failures, kMaxDoublings);
   const Duration bound = std::min(this->limits.longest_pause,
--- a/unittests/adapter/adapter_test.cc
+++ b/unittests/adapter/adapter_test.cc
@@ -99,7 +99,7 @@
   BOOST_REQUIRE(read.has_value());
   BOOST_CHECK(read->state == endpoints::EndpointState::kDraining);
   BOOST_CHECK(read->layers == (pipeline::LayerRange{71, 76}));
-  BOOST_TEST(read->born == 1786051407370U);
+  BOOST_TEST(read->start_time_ms == 1786051407370U);
 }
 
 BOOST_AUTO_TEST_CASE(ReportNamesStalledAnswers) {
--- a/unittests/endpoints/endpoints_test.cc
+++ b/unittests/endpoints/endpoints_test.cc
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "toucanwharf/endpoints/endpoint_table.h"
-#include "toucanwharf/endpoints/load_book.h"
+#include "toucanwharf/endpoints/load_tracker.h"
 
 namespace toucanwharf::endpoints {
 namespace {
@@ -18,7 +18,7 @@
 Endpoint MakeEndpoint(const std::string& id) {
   Endpoint endpoint;
   endpoint.id = id;
-  endpoint.born = 1;
+  endpoint.start_time_ms = 1;
   endpoint.service = "service";
   endpoint.address = "10.0.0.1:80";
   return endpoint;
@@ -42,10 +42,10 @@
 BOOST_AUTO_TEST_CASE(EntriesThatLapsedInAnOutageAreKept) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   List(table, {}, 20, At(5000));
   BOOST_TEST(Ready(table) == 2U);
-  BOOST_TEST(table.Kept() == 2U);
+  BOOST_TEST(table.RetainedCount() == 2U);
   List(table, {MakeEndpoint("one")}, 30, At(6000));
   BOOST_TEST(Ready(table) == 2U);
   List(table, {MakeEndpoint("one")}, 31, At(7100));
@@ -58,13 +58,13 @@
 BOOST_AUTO_TEST_CASE(GraceIsOverWithoutANewList) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   List(table, {MakeEndpoint("one")}, 20, At(5000));
   BOOST_TEST(!table.Confirm(At(6900), At(7100)));
   BOOST_TEST(Ready(table) == 2U);
   BOOST_TEST(table.Confirm(At(7000), At(7200)));
   BOOST_TEST(Ready(table) == 1U);
-  BOOST_TEST(table.Kept() == 0U);
+  BOOST_TEST(table.RetainedCount() == 0U);
 }
 
 // An instance reads once right after an outage, when most entries are missing,
@@ -75,12 +75,12 @@
   EndpointTable table(kGrace, kShortestOutage);
   for (EndpointTable* one : {&reader, &table}) {
     List(*one, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-    one->OnStoreAway(At(1000));
+    one->OnStoreUnavailable(At(1000));
     List(*one, {MakeEndpoint("one")}, 20, At(5000));
   }
   const auto both = {MakeEndpoint("one"), MakeEndpoint("two")};
   BOOST_TEST(List(reader, both, 30, At(5600)));
-  BOOST_REQUIRE(reader.ChangedAt() > table.Revision());
+  BOOST_REQUIRE(reader.ChangedRevision() > table.Revision());
   table.Adopt(reader.Share(At(5700)), At(5700));
   BOOST_TEST(!table.Confirm(At(7000), At(7200)));
   BOOST_TEST(Ready(table) == 2U);
@@ -93,10 +93,10 @@
 BOOST_AUTO_TEST_CASE(GraceCountsFromTheReturnThatAPeerSaw) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   table.Confirm(At(5000), At(5250));
   table.Confirm(At(7500), At(7700));
-  SharedList list;
+  EndpointListSnapshot list;
   list.endpoints = {MakeEndpoint("one")};
   list.revision = 20;
   BOOST_TEST(table.Adopt(list, At(8000)));
@@ -107,7 +107,7 @@
 BOOST_AUTO_TEST_CASE(ProofOfBeforeTheOutageDoesNotBeginTheGrace) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   table.Confirm(At(900), At(1100));
   List(table, {}, 20, At(5000));
   BOOST_TEST(Ready(table) == 1U);
@@ -118,12 +118,12 @@
 BOOST_AUTO_TEST_CASE(GraceOfAPeerGoesOnHere) {
   EndpointTable reader(kGrace, kShortestOutage);
   List(reader, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  reader.OnStoreAway(At(1000));
+  reader.OnStoreUnavailable(At(1000));
   List(reader, {MakeEndpoint("one")}, 20, At(5000));
   EndpointTable table(kGrace, kShortestOutage);
   table.Adopt(reader.Share(At(5500)), At(5500));
   BOOST_TEST(Ready(table) == 2U);
-  BOOST_TEST(table.Kept() == 1U);
+  BOOST_TEST(table.RetainedCount() == 1U);
   BOOST_TEST(!table.Confirm(At(6999), At(7100)));
   BOOST_TEST(table.Confirm(At(7000), At(7200)));
   BOOST_TEST(Ready(table) == 1U);
@@ -134,9 +134,9 @@
 BOOST_AUTO_TEST_CASE(ListOfAPeerWithoutMemoryDropsNothingInTheGrace) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   table.Confirm(At(5000), At(5100));
-  SharedList list;
+  EndpointListSnapshot list;
   list.revision = 20;
   table.Adopt(list, At(5200));
   BOOST_TEST(Ready(table) == 2U);
@@ -149,10 +149,10 @@
 BOOST_AUTO_TEST_CASE(OneFailedReadKeepsNoEndpointThatLeft) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1600));
+  table.OnStoreUnavailable(At(1600));
   BOOST_TEST(List(table, {MakeEndpoint("two")}, 11, At(2300)));
   BOOST_TEST(Ready(table) == 1U);
-  BOOST_TEST(table.Kept() == 0U);
+  BOOST_TEST(table.RetainedCount() == 0U);
 }
 
 // Guards against endpoints that are used for two seconds after they have left,
@@ -161,12 +161,12 @@
 BOOST_AUTO_TEST_CASE(FailedReadsBesideAnswersToOthersKeepNoEndpoint) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   table.OnStoreAnswered(At(900), At(1200));
   table.OnStoreAnswered(At(2100), At(2400));
   BOOST_TEST(List(table, {MakeEndpoint("two")}, 11, At(3500)));
   BOOST_TEST(Ready(table) == 1U);
-  BOOST_TEST(table.Kept() == 0U);
+  BOOST_TEST(table.RetainedCount() == 0U);
 }
 
 // Guards against endpoints that an instance uses for as long as the store turns
@@ -176,15 +176,15 @@
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   for (int at = 1000; at <= 6000; at += 300) {
-    table.OnStoreAway(At(at));
+    table.OnStoreUnavailable(At(at));
     table.OnStoreAnswered(At(at - 1000), At(at));
   }
-  SharedList list;
+  EndpointListSnapshot list;
   list.endpoints = {MakeEndpoint("two")};
   list.revision = 11;
   BOOST_TEST(table.Adopt(list, At(6100)));
   BOOST_TEST(Ready(table) == 1U);
-  BOOST_TEST(table.Share(At(6100)).kept_for.count() == 0);
+  BOOST_TEST(table.Share(At(6100)).retained_for.count() == 0);
 }
 
 // Guards against an outage whose end a peer saw while the last read of this
@@ -192,7 +192,7 @@
 BOOST_AUTO_TEST_CASE(FailureThatEndsAfterThePeersReadHidesNoOutage) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(5500));
+  table.OnStoreUnavailable(At(5500));
   table.OnStoreAnswered(At(5100), At(5600));
   List(table, {}, 20, At(5900));
   BOOST_TEST(Ready(table) == 2U);
@@ -204,7 +204,7 @@
 BOOST_AUTO_TEST_CASE(OutageThatAPeerSawTheEndOfBeginsTheGrace) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   table.OnStoreAnswered(At(500), At(1100));
   table.OnStoreAnswered(At(5000), At(5200));
   List(table, {}, 20, At(5600));
@@ -226,7 +226,7 @@
 BOOST_AUTO_TEST_CASE(DrainingIsBelievedAtOnce) {
   EndpointTable table(kGrace, kShortestOutage);
   List(table, {MakeEndpoint("one")}, 10, At(0));
-  table.OnStoreAway(At(1000));
+  table.OnStoreUnavailable(At(1000));
   Endpoint leaving = MakeEndpoint("one");
   leaving.state = EndpointState::kDraining;
   List(table, {leaving}, 20, At(5000));
@@ -241,39 +241,39 @@
   BOOST_TEST(
       !List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 9, At(100)));
   BOOST_TEST(Ready(table) == 1U);
-  BOOST_TEST(table.ChangedAt() == 10U);
+  BOOST_TEST(table.ChangedRevision() == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(LoadsOfAllInstancesAddUp) {
-  LoadBook book;
-  book.Began({"engine", 1, 100, 1});
-  book.Began({"engine", 1, 50, 0});
-  book.SetPeers({{"engine", 2, 30, 1}, {"engine", 1, 10, 0}});
+  LoadTracker book;
+  book.AddInFlight({"engine", 1, 100, 1});
+  book.AddInFlight({"engine", 1, 50, 0});
+  book.SetPeerLoads({{"engine", 2, 30, 1}, {"engine", 1, 10, 0}});
   BOOST_TEST(book.Total("engine").answers == 5);
   BOOST_TEST(book.Total("engine").token_layers == 190);
-  book.Ended({"engine", 1, 100, 1});
-  book.Ended({"engine", 1, 50, 0});
-  BOOST_TEST(book.Own().empty());
+  book.RemoveInFlight({"engine", 1, 100, 1});
+  book.RemoveInFlight({"engine", 1, 50, 0});
+  BOOST_TEST(book.Local().empty());
   BOOST_TEST(book.Total("engine").answers == 3);
 }
 
 // An engine started anew under its old id holds nothing; what it reported in
 // its former life must not lead answers to it.
 BOOST_AUTO_TEST_CASE(FactOfAnEarlierLifeDoesNotCount) {
-  LoadBook book;
-  book.SetFact({"engine", 1, {0, 26}, 1.0}, At(3000));
+  LoadTracker book;
+  book.SetEngineStatus({"engine", 1, {0, 26}, 1.0}, At(3000));
   Endpoint endpoint = MakeEndpoint("engine");
   BOOST_TEST(book.ToEngine(endpoint, At(0)).layers.Count() == 26U);
-  endpoint.born = 2;
+  endpoint.start_time_ms = 2;
   BOOST_TEST(book.ToEngine(endpoint, At(0)).layers.Count() == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(SuspicionEndsByItself) {
-  LoadBook book;
+  LoadTracker book;
   book.Suspect("engine", At(1000));
   book.Suspect("engine", At(500));
-  BOOST_TEST(book.Suspected("engine", At(999)));
-  BOOST_TEST(!book.Suspected("engine", At(1000)));
+  BOOST_TEST(book.IsSuspected("engine", At(999)));
+  BOOST_TEST(!book.IsSuspected("engine", At(1000)));
   BOOST_TEST(book.Suspicions(At(400), false).size() == 1U);
   BOOST_TEST(book.Suspicions(At(1000), false).empty());
 }
@@ -281,26 +281,26 @@
 // An engine is dead, and one instance has found out. The others learn which
 // suspicions are of silence, and the news is told once.
 BOOST_AUTO_TEST_CASE(SilenceIsToldApartFromRefusals) {
-  LoadBook book;
+  LoadTracker book;
   book.Suspect("refuses", At(1000));
-  BOOST_TEST(book.FoundSilent("silent", At(1000), At(0)));
-  BOOST_TEST(!book.FoundSilent("silent", At(1200), At(10)));
-  BOOST_TEST(book.Silent("silent", At(1100)));
-  BOOST_TEST(!book.Silent("refuses", At(10)));
-  BOOST_TEST(book.Suspected("silent", At(10)));
+  BOOST_TEST(book.MarkUnresponsive("silent", At(1000), At(0)));
+  BOOST_TEST(!book.MarkUnresponsive("silent", At(1200), At(10)));
+  BOOST_TEST(book.IsUnresponsive("silent", At(1100)));
+  BOOST_TEST(!book.IsUnresponsive("refuses", At(10)));
+  BOOST_TEST(book.IsSuspected("silent", At(10)));
   for (const gossip::Suspicion& one : book.Suspicions(At(10), false)) {
-    BOOST_TEST(one.silent == (one.endpoint == "silent"));
+    BOOST_TEST(one.unresponsive == (one.endpoint == "silent"));
   }
-  book.Answered("silent", At(10));
-  BOOST_TEST(!book.Suspected("silent", At(10)));
+  book.OnResponse("silent", At(10));
+  BOOST_TEST(!book.IsSuspected("silent", At(10)));
 }
 
 // An engine was dead for a moment. Instances that passed on what they had heard
 // would keep the word of it going among themselves when it is long back.
 BOOST_AUTO_TEST_CASE(HearsayIsNotPassedOn) {
-  LoadBook book;
-  BOOST_TEST(book.HeardSilent("engine", At(1000), At(0)));
-  BOOST_TEST(book.Silent("engine", At(10)));
+  LoadTracker book;
+  BOOST_TEST(book.MarkReportedUnresponsive("engine", At(1000), At(0)));
+  BOOST_TEST(book.IsUnresponsive("engine", At(10)));
   BOOST_TEST(book.Suspicions(At(10), false).empty());
   BOOST_TEST(book.Suspicions(At(10), true).size() == 1U);
 }
@@ -308,35 +308,35 @@
 // An instance asks an engine and gets an answer, while others still tell what
 // they found before.
 BOOST_AUTO_TEST_CASE(OwnAnswerOutweighsOthersWord) {
-  LoadBook book;
-  book.Answered("engine", At(0));
-  BOOST_TEST(!book.HeardSilent("engine", At(1000), At(299)));
-  BOOST_TEST(!book.Silent("engine", At(299)));
-  BOOST_TEST(book.HeardSilent("engine", At(1000), At(300)));
+  LoadTracker book;
+  book.OnResponse("engine", At(0));
+  BOOST_TEST(!book.MarkReportedUnresponsive("engine", At(1000), At(299)));
+  BOOST_TEST(!book.IsUnresponsive("engine", At(299)));
+  BOOST_TEST(book.MarkReportedUnresponsive("engine", At(1000), At(300)));
 }
 
 // A third of the instances are cut off from the others. What they last heard
 // of their loads is from a calm moment, so they send everything to the same
 // engines, which refuse their callers.
 BOOST_AUTO_TEST_CASE(InstanceThatHearsNobodyTakesOthersAsLoadedLikeItself) {
-  LoadBook book;
-  book.Began({"engine", 2, 2000, 1});
-  book.SetPeers({{"engine", 3, 3000, 0}, {"other", 5, 5000, 0}});
-  book.AssumeAlike(70);
+  LoadTracker book;
+  book.AddInFlight({"engine", 2, 2000, 1});
+  book.SetPeerLoads({{"engine", 3, 3000, 0}, {"other", 5, 5000, 0}});
+  book.AssumeEqualPeerLoad(70);
   BOOST_TEST(book.Total("engine").answers == 142);
   BOOST_TEST(book.Total("engine").token_layers == 142000);
   BOOST_TEST(book.Total("other").answers == 5);
-  book.AssumeAlike(0);
+  book.AssumeEqualPeerLoad(0);
   BOOST_TEST(book.Total("engine").answers == 5);
 }
 
 // Instances that can't be heard fill an engine. Its own report tells, and
 // requests go elsewhere instead of being refused there.
 BOOST_AUTO_TEST_CASE(EnginesOwnWordCountsWhereItSaysMore) {
-  LoadBook book;
-  book.Began({"engine", 1, 1000, 1});
+  LoadTracker book;
+  book.AddInFlight({"engine", 1, 1000, 1});
   const Endpoint endpoint = MakeEndpoint("engine");
-  book.SetFact({"engine", 1, {0, 26}, 1.0, 500000}, At(3000));
+  book.SetEngineStatus({"engine", 1, {0, 26}, 1.0, 500000}, At(3000));
   BOOST_TEST(book.ToEngine(endpoint, At(0)).token_layers == 500000);
   BOOST_TEST(book.ToEngine(endpoint, At(3000)).token_layers == 1000);
 }
@@ -344,26 +344,26 @@
 // An engine says that it is well and refuses everything. Every instance tries
 // it again after each pause, at the cost of a caller's time.
 BOOST_AUTO_TEST_CASE(PausesAfterRefusalsInARowGrow) {
-  LoadBook book;
+  LoadTracker book;
   book.OnRefusal("engine", false, At(0));
   book.OnRefusal("engine", false, At(10));
-  BOOST_TEST(book.Suspected("engine", At(999)));
-  BOOST_TEST(!book.Suspected("engine", At(1000)));
+  BOOST_TEST(book.IsSuspected("engine", At(999)));
+  BOOST_TEST(!book.IsSuspected("engine", At(1000)));
   BOOST_TEST(book.Suspicions(At(10), false).size() == 1U);
   book.OnRefusal("engine", false, At(1100));
-  BOOST_TEST(book.Suspected("engine", At(3099)));
-  BOOST_TEST(!book.Suspected("engine", At(3100)));
+  BOOST_TEST(book.IsSuspected("engine", At(3099)));
+  BOOST_TEST(!book.IsSuspected("engine", At(3100)));
   book.OnRefusal("engine", false, At(9000));
-  BOOST_TEST(!book.Suspected("engine", At(10000)));
+  BOOST_TEST(!book.IsSuspected("engine", At(10000)));
 }
 
 // A full engine has room again soon. If every instance kept away from it for a
 // second because one was refused, a third of its room would lie idle.
 BOOST_AUTO_TEST_CASE(FullEngineIsLeftAloneForAMomentByOneInstance) {
-  LoadBook book;
+  LoadTracker book;
   book.OnRefusal("engine", true, At(0));
-  BOOST_TEST(book.Suspected("engine", At(399)));
-  BOOST_TEST(!book.Suspected("engine", At(400)));
+  BOOST_TEST(book.IsSuspected("engine", At(399)));
+  BOOST_TEST(!book.IsSuspected("engine", At(400)));
   BOOST_TEST(book.Suspicions(At(10), false).empty());
 }
 
--- a/unittests/endpoints/doubt_test.cc
+++ b/unittests/endpoints/liveness_evidence_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/endpoints/doubt.h"
+#include "toucanwharf/endpoints/liveness_evidence.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -19,16 +19,16 @@
 // Engine "c" dies. Answers that share "a" and "b" with the silent one go on, so
 // only "c" and its neighbour, which nobody else uses, are asked.
 BOOST_AUTO_TEST_CASE(OnlyEnginesThatNoOtherAnswerPassesAreDoubted) {
-  const std::vector<AnswerSign> others = {{Path({"a", "b"}), At(110)},
+  const std::vector<LivenessEvidence> others = {{Path({"a", "b"}), At(110)},
                                           {Path({"c", "d"}), At(60)}};
   const auto doubted =
-      DoubtedEngines(Path({"a", "b", "c", "d"}), At(100), others);
+      EnginesWithoutEvidence(Path({"a", "b", "c", "d"}), At(100), others);
   BOOST_TEST((doubted == Path({"c", "d"})));
 }
 
 BOOST_AUTO_TEST_CASE(AloneAllAreDoubted) {
   const auto stages = Path({"a", "b"});
-  BOOST_TEST((DoubtedEngines(stages, At(0), {}) == stages));
+  BOOST_TEST((EnginesWithoutEvidence(stages, At(0), {}) == stages));
 }
 
 }  // namespace
--- a/unittests/gossip/gossip_test.cc
+++ b/unittests/gossip/gossip_test.cc
@@ -6,14 +6,14 @@
 #include <set>
 
 #include "toucanwharf/gossip/beacon.h"
-#include "toucanwharf/gossip/candidacy.h"
-#include "toucanwharf/gossip/deputies.h"
-#include "toucanwharf/gossip/first_read.h"
+#include "toucanwharf/gossip/election_policy.h"
+#include "toucanwharf/gossip/backup_leaders.h"
+#include "toucanwharf/gossip/initial_read_policy.h"
 #include "toucanwharf/gossip/fleet_loads.h"
 #include "toucanwharf/gossip/key_range.h"
 #include "toucanwharf/gossip/peer_table.h"
-#include "toucanwharf/gossip/roster.h"
-#include "toucanwharf/gossip/rotation.h"
+#include "toucanwharf/gossip/ready_instance_list.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 
 namespace toucanwharf::gossip {
 namespace {
@@ -56,11 +56,11 @@
   beacon.echo_of = "receiver";
   beacon.loads = {{"engine", 2, 300, 1}};
   beacon.suspicions = {{"engine", milliseconds(20), true}};
-  beacon.about = {5, *rc::gen::inRange<std::uint32_t>(5, 1U << 31)};
-  beacon.facts = {{7, {0, 26}, 1.5, 4000}};
+  beacon.covered_keys = {5, *rc::gen::inRange<std::uint32_t>(5, 1U << 31)};
+  beacon.engine_statuses = {{7, {0, 26}, 1.5, 4000}};
   beacon.fleet_loads = {{0xfffffffe, 12, 700000, 3}, {8, 1, 2000, 0}};
   beacon.ready_instances = {0x0a010028};
-  beacon.deputies = {"10.0.0.2:7"};
+  beacon.backup_leaders = {"10.0.0.2:7"};
   beacon.peers = {"10.0.0.1:7"};
   const auto read = Decode(Encode(beacon));
   RC_ASSERT(read.has_value());
@@ -79,12 +79,12 @@
     beacon.suspicions.push_back(
         {id + std::to_string(at), milliseconds(2900), true});
   }
-  KeepToDatagram(beacon);
-  beacon.about = ranges.Next(endpoints);
+  TrimToDatagram(beacon);
+  beacon.covered_keys = ranges.Next(endpoints);
   for (std::uint32_t at = 0; at < endpoints; ++at) {
     const std::uint32_t key = at * kSpread;
-    if (!beacon.about.Contains(key)) continue;
-    beacon.facts.push_back({key, {1000, 1080}, 12.5, 70e6});
+    if (!beacon.covered_keys.Contains(key)) continue;
+    beacon.engine_statuses.push_back({key, {1000, 1080}, 12.5, 70e6});
     beacon.fleet_loads.push_back({key, 190, 70e6, 12});
   }
   beacon.ready_instances.assign(kInstances, 0x0a010028);
@@ -110,8 +110,8 @@
   FleetLoads heard;
   for (int round = 0; round < 5; ++round) {
     const Beacon word = WordOn(kEndpoints, ranges);
-    BOOST_TEST(word.about.Parts() == 5U);
-    heard.Take(word.about, word.fleet_loads);
+    BOOST_TEST(word.covered_keys.Parts() == 5U);
+    heard.Update(word.covered_keys, word.fleet_loads);
   }
   BOOST_TEST(heard.All().size() == kEndpoints);
 }
@@ -122,9 +122,9 @@
   const KeyRange low{0, 99};
   const KeyRange high{100, 199};
   FleetLoads heard;
-  heard.Take(low, {{1, 2, 3000, 1}, {50, 1, 1000, 0}});
-  heard.Take(high, {{150, 4, 5000, 2}});
-  heard.Take(low, {{50, 6, 7000, 3}});
+  heard.Update(low, {{1, 2, 3000, 1}, {50, 1, 1000, 0}});
+  heard.Update(high, {{150, 4, 5000, 2}});
+  heard.Update(low, {{50, 6, 7000, 3}});
   const std::vector<KeyedLoad> expected = {{50, 6, 7000, 3}, {150, 4, 5000, 2}};
   BOOST_TEST((heard.All() == expected));
 }
@@ -163,10 +163,10 @@
 BOOST_AUTO_TEST_CASE(ProofCountsFromBeforeTheQuestion) {
   PeerTable table("own");
   table.OnBeacon("10.0.0.1:7", Vouching("own", 10000, 300), At(11000));
-  const auto proved = table.ConfigurationVouched(5, At(11000));
+  const auto proved = table.ConfigurationConfirmedAt(5, At(11000));
   BOOST_REQUIRE(proved.has_value());
   BOOST_TEST((*proved == At(9700)));
-  BOOST_TEST(!table.ConfigurationVouched(4, At(11000)).has_value());
+  BOOST_TEST(!table.ConfigurationConfirmedAt(4, At(11000)).has_value());
 }
 
 // An instance lost power and started anew; its clock began at zero. A peer
@@ -176,11 +176,11 @@
 BOOST_AUTO_TEST_CASE(EchoOfAnEarlierStartProvesNothing) {
   PeerTable table("second-start");
   table.OnBeacon("10.0.0.1:7", Vouching("first-start", 900000, 300), At(50));
-  BOOST_TEST(!table.ConfigurationVouched(5, At(50)).has_value());
+  BOOST_TEST(!table.ConfigurationConfirmedAt(5, At(50)).has_value());
   Beacon negative = Vouching("second-start", 40, -500000);
   negative.stamp += 1;
   table.OnBeacon("10.0.0.1:7", negative, At(60));
-  BOOST_TEST(!table.ConfigurationVouched(5, At(60)).has_value());
+  BOOST_TEST(!table.ConfigurationConfirmedAt(5, At(60)).has_value());
 }
 
 // Guards against an outage that only this instance sees: a peer's word shows
@@ -193,8 +193,8 @@
   beacon.echo = Duration(milliseconds(1000)).count();
   beacon.echo_of = "me";
   table.OnBeacon("10.0.0.1:7", beacon, At(1100));
-  BOOST_TEST((!table.EndpointsVouched(98, At(1200))));
-  BOOST_TEST((table.StoreAnswered(At(1200)) == At(700)));
+  BOOST_TEST((!table.EndpointsConfirmedAt(98, At(1200))));
+  BOOST_TEST((table.StoreAnsweredAt(At(1200)) == At(700)));
 }
 
 // A beacon overtaken by a newer one must not bring the past back, but a peer
@@ -213,7 +213,7 @@
   table.OnBeacon("10.0.0.1:7", MakeBeacon("peer", 20), At(0));
   BOOST_TEST(table.AllLive(At(1000)).size() == 1U);
   BOOST_TEST(table.AllLive(At(2000)).empty());
-  BOOST_TEST(table.Instances(At(2000)) == 2U);
+  BOOST_TEST(table.InstanceCount(At(2000)) == 2U);
   BOOST_TEST(table.Addresses(At(2000)).size() == 1U);
   BOOST_TEST(table.Addresses(At(70000)).empty());
 }
@@ -225,8 +225,8 @@
   table.AddAddress("10.0.0.1:7", At(0));
   table.AddAddress("10.0.0.2:7", At(0));
   table.OnBeacon("10.0.0.1:7", MakeBeacon("peer", 20), At(10));
-  BOOST_TEST(table.Instances(At(20)) == 3U);
-  BOOST_TEST(table.Instances(At(60005)) == 2U);
+  BOOST_TEST(table.InstanceCount(At(20)) == 3U);
+  BOOST_TEST(table.InstanceCount(At(60005)) == 2U);
 }
 
 // Whoever has not said that it has run for long may have started just now: one
@@ -254,28 +254,28 @@
 }
 
 /// The peers of one of \p size instances in five failure domains.
-Audience MakeAudience(int size) {
-  Audience audience;
+BeaconTargets MakeAudience(int size) {
+  BeaconTargets audience;
   for (const std::string& one : Addresses(size)) {
-    const bool near = audience.near.size() <= audience.far.size() / 4;
-    (near ? audience.near : audience.far).push_back(one);
+    const bool near = audience.same_domain.size() <= audience.other_domains.size() / 4;
+    (near ? audience.same_domain : audience.other_domains).push_back(one);
   }
-  audience.leader = audience.far.back();
-  audience.deputies = {audience.near.back(), audience.far.front()};
+  audience.leader = audience.other_domains.back();
+  audience.backup_leaders = {audience.same_domain.back(), audience.other_domains.front()};
   return audience;
 }
 
 // However large the fleet, an instance sends about as many messages a second as
 // a small one, everybody hears of everybody in its failure domain within the
 // time after which a peer is called silent, the leader hears of everybody in
-// every round, and its deputies in every second one.
+// every round, and its backup leaders in every second one.
 BOOST_AUTO_TEST_CASE(TalkDoesNotGrowWithTheFleet) {
   for (const int size : {5, 85, 295, 420}) {
-    const Audience audience = MakeAudience(size);
-    Rotation rotation;
+    const BeaconTargets audience = MakeAudience(size);
+    BeaconSchedule rotation;
     std::map<std::string, int> last_told;
     std::size_t sent = 0;
-    const Duration silence = rotation.SilentAfter(audience.near.size());
+    const Duration silence = rotation.PeerTimeout(audience.same_domain.size());
     const int rounds =
         static_cast<int>(silence.count() / rotation.Period().count());
     for (int round = 0; round < rounds; ++round) {
@@ -283,15 +283,15 @@
       BOOST_REQUIRE(chosen.size() <= 16U);
       BOOST_REQUIRE(std::count(chosen.begin(), chosen.end(), audience.leader) ==
                     1);
-      for (const std::string& deputy : audience.deputies) {
+      for (const std::string& backup_leader : audience.backup_leaders) {
         const bool told =
-            std::find(chosen.begin(), chosen.end(), deputy) != chosen.end();
+            std::find(chosen.begin(), chosen.end(), backup_leader) != chosen.end();
         BOOST_REQUIRE((told || round % 2 == 0));
       }
       sent += chosen.size();
       for (const std::string& one : chosen) last_told[one] = round;
     }
-    for (const std::string& one : audience.near) {
+    for (const std::string& one : audience.same_domain) {
       BOOST_REQUIRE(last_told.contains(one));
     }
     BOOST_TEST(sent <= static_cast<std::size_t>(rounds) * 16);
@@ -300,25 +300,25 @@
 
 // Domains that have lost the leader and one another find together again.
 BOOST_AUTO_TEST_CASE(EveryOtherDomainIsToldByTurns) {
-  const Audience audience = MakeAudience(85);
-  Rotation rotation;
+  const BeaconTargets audience = MakeAudience(85);
+  BeaconSchedule rotation;
   std::set<std::string> told;
-  for (std::size_t round = 0; round < 4 * audience.far.size(); ++round) {
+  for (std::size_t round = 0; round < 4 * audience.other_domains.size(); ++round) {
     for (const std::string& one : rotation.Next(audience)) told.insert(one);
   }
-  for (const std::string& one : audience.far) BOOST_TEST(told.contains(one));
+  for (const std::string& one : audience.other_domains) BOOST_TEST(told.contains(one));
 }
 
 BOOST_AUTO_TEST_CASE(HubTellsEverybodyInEverySecondRound) {
-  Audience audience = MakeAudience(85);
-  audience.is_hub = true;
-  Rotation rotation;
+  BeaconTargets audience = MakeAudience(85);
+  audience.is_coordinator = true;
+  BeaconSchedule rotation;
   int whole = 0;
   for (int round = 0; round < 10; ++round) {
     const std::size_t told = rotation.Next(audience).size();
     if (told == 85U) ++whole;
-    BOOST_TEST(rotation.WentToEveryone() == (told == 85U));
-    BOOST_TEST((told == 85U || told == 1 + audience.deputies.size()));
+    BOOST_TEST(rotation.LastRoundWasBroadcast() == (told == 85U));
+    BOOST_TEST((told == 85U || told == 1 + audience.backup_leaders.size()));
   }
   BOOST_TEST(whole == 5);
 }
@@ -333,7 +333,7 @@
     std::size_t count = 0;
     for (std::size_t at = 0; at < kInstances; ++at) {
       const double unit = static_cast<double>(at) / kInstances;
-      const FirstRead one(at < kStrong ? 0.5 : 0.12, At(0), unit);
+      const InitialReadPolicy one(at < kStrong ? 0.5 : 0.12, At(0), unit);
       if (one.MayRead(kInstances, now)) ++count;
     }
     return count;
@@ -347,7 +347,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(InstanceOfASmallFleetReadsAtOnce) {
-  const FirstRead weak(0.12, At(0), 0.9);
+  const InitialReadPolicy weak(0.12, At(0), 0.9);
   BOOST_TEST(!weak.MayRead(std::nullopt, At(10)));
   BOOST_TEST(weak.MayRead(6, At(10)));
 }
@@ -360,23 +360,23 @@
   std::size_t at_once = 0;
   std::size_t in_the_end = 0;
   for (std::size_t ahead = 0; ahead < kInstances; ++ahead) {
-    Candidacy one(0.5, At(0));
-    BOOST_TEST(!one.MayTry(false, ahead, At(9000)));
-    if (one.MayTry(true, ahead, At(10000))) ++at_once;
-    if (one.MayTry(true, ahead, At(13000))) ++in_the_end;
+    ElectionPolicy one(0.5, At(0));
+    BOOST_TEST(!one.MayAttempt(false, ahead, At(9000)));
+    if (one.MayAttempt(true, ahead, At(10000))) ++at_once;
+    if (one.MayAttempt(true, ahead, At(13000))) ++in_the_end;
   }
-  BOOST_TEST(at_once == CandidacySettings().at_once);
+  BOOST_TEST(at_once == ElectionSettings().at_once);
   BOOST_TEST(in_the_end == kInstances);
 }
 
 // All processes start at once and none has heard of another. A weak one that
 // took the lease would spend its processor on it for the rest of the day.
 BOOST_AUTO_TEST_CASE(WeakInstanceLetsStrongOnesGoFirstAtStart) {
-  Candidacy weak(0.12, At(0));
-  BOOST_TEST(!weak.MayTry(true, 0, At(900)));
-  BOOST_TEST(weak.MayTry(true, 0, At(1000)));
-  Candidacy strong(0.25, At(0));
-  BOOST_TEST(strong.MayTry(true, 0, At(0)));
+  ElectionPolicy weak(0.12, At(0));
+  BOOST_TEST(!weak.MayAttempt(true, 0, At(900)));
+  BOOST_TEST(weak.MayAttempt(true, 0, At(1000)));
+  ElectionPolicy strong(0.25, At(0));
+  BOOST_TEST(strong.MayAttempt(true, 0, At(0)));
 }
 
 BOOST_AUTO_TEST_CASE(StrongerPeersAreAhead) {
@@ -389,13 +389,13 @@
   beacon.processor_share = 0.12;
   beacon.callers_address = "10.0.0.1:80";
   table.OnBeacon("10.0.0.1:7", beacon, At(0));
-  BOOST_TEST(table.Ahead(0.12, "10.0.0.5:80", At(100)) == 2U);
-  BOOST_TEST(table.Ahead(0.5, "10.0.0.5:80", At(100)) == 0U);
-  BOOST_TEST(table.Ahead(0.12, "10.0.0.5:80", At(9000)) == 0U);
+  BOOST_TEST(table.CandidatesAhead(0.12, "10.0.0.5:80", At(100)) == 2U);
+  BOOST_TEST(table.CandidatesAhead(0.5, "10.0.0.5:80", At(100)) == 0U);
+  BOOST_TEST(table.CandidatesAhead(0.12, "10.0.0.5:80", At(9000)) == 0U);
 }
 
-// Guards against a leader and its deputies that fall together with one failure
-// domain, and against a weak deputy that spends its processor on talk.
+// Guards against a leader and its backup leaders that fall together with one failure
+// domain, and against a weak backup leader that spends its processor on talk.
 BOOST_AUTO_TEST_CASE(DeputiesAreStrongAndInOtherDomains) {
   PeerTable table("own");
   int at = 0;
@@ -408,65 +408,65 @@
     }
   }
   const std::vector<std::string> expected = {"10.0.0.10:7", "10.0.0.6:7"};
-  BOOST_TEST(ChooseDeputies(table, "a", At(100)) == expected,
+  BOOST_TEST(ChooseBackupLeaders(table, "a", At(100)) == expected,
              boost::test_tools::per_element());
-  BOOST_TEST(ChooseDeputies(table, "a", At(9000)).empty());
+  BOOST_TEST(ChooseBackupLeaders(table, "a", At(9000)).empty());
 }
 
 // Guards against a fleet that knows nothing of its engines while nobody leads,
 // and against several that ask them all.
 BOOST_AUTO_TEST_CASE(FirstLiveDeputyActsForTheLeader) {
   PeerTable table("own");
-  const std::vector<std::string> deputies = {"10.0.0.1:7", "10.0.0.2:7"};
-  BOOST_TEST(ActsForLeader(table, deputies, "10.0.0.1:7", At(0)));
-  BOOST_TEST(ActsForLeader(table, deputies, "10.0.0.2:7", At(0)));
+  const std::vector<std::string> backup_leaders = {"10.0.0.1:7", "10.0.0.2:7"};
+  BOOST_TEST(ActsForLeader(table, backup_leaders, "10.0.0.1:7", At(0)));
+  BOOST_TEST(ActsForLeader(table, backup_leaders, "10.0.0.2:7", At(0)));
   table.OnBeacon("10.0.0.1:7", MakeBeacon("first", 1), At(0));
-  BOOST_TEST(!ActsForLeader(table, deputies, "10.0.0.2:7", At(100)));
-  BOOST_TEST(!ActsForLeader(table, deputies, "10.0.0.3:7", At(100)));
-  BOOST_TEST(ActsForLeader(table, deputies, "10.0.0.2:7", At(9000)));
+  BOOST_TEST(!ActsForLeader(table, backup_leaders, "10.0.0.2:7", At(100)));
+  BOOST_TEST(!ActsForLeader(table, backup_leaders, "10.0.0.3:7", At(100)));
+  BOOST_TEST(ActsForLeader(table, backup_leaders, "10.0.0.2:7", At(9000)));
   Beacon beacon = MakeBeacon("leader", 1);
   beacon.leads = true;
   table.OnBeacon("10.0.0.9:7", beacon, At(9000));
-  BOOST_TEST(!ActsForLeader(table, deputies, "10.0.0.2:7", At(9000)));
+  BOOST_TEST(!ActsForLeader(table, backup_leaders, "10.0.0.2:7", At(9000)));
 }
 
 // Guards against an instance that takes its own failed reads for an outage of
 // the store, and uses an endpoint for seconds after it has left.
 BOOST_AUTO_TEST_CASE(HubThatHasReadLatelyShowsThatTheStoreIsUp) {
   PeerTable table("own");
-  BOOST_CHECK(!table.HubsProofAge({"10.0.0.2:7"}, At(0)));
+  BOOST_CHECK(!table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(0)));
   Beacon beacon = MakeBeacon("leader", 1);
   beacon.leads = true;
   beacon.configuration_age = milliseconds(4000);
   table.OnBeacon("10.0.0.1:7", beacon, At(0));
-  BOOST_CHECK(table.HubsProofAge({}, At(100)) == milliseconds(4100));
+  BOOST_CHECK(table.CoordinatorConfirmationAge({}, At(100)) == milliseconds(4100));
   beacon = MakeBeacon("deputy", 1);
   beacon.configuration_age = milliseconds(300);
   table.OnBeacon("10.0.0.2:7", beacon, At(0));
-  BOOST_CHECK(table.HubsProofAge({"10.0.0.2:7"}, At(100)) == milliseconds(400));
-  BOOST_CHECK(!table.HubsProofAge({"10.0.0.2:7"}, At(1600)));
+  BOOST_CHECK(table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(100)) == milliseconds(400));
+  BOOST_CHECK(!table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(1600)));
 }
 
-// Where there is one failure domain only, deputies are in it too.
+// Where there is one failure domain only, backup leaders are in it too.
 BOOST_AUTO_TEST_CASE(DeputiesOfOneDomain) {
   PeerTable table("own");
   for (const char* address : {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}) {
     table.OnBeacon(address, MakeBeacon(address, 1), At(0));
   }
-  BOOST_TEST(ChooseDeputies(table, "", At(100)).size() == kDeputies);
+  BOOST_TEST(ChooseBackupLeaders(table, "", At(100)).size() == kBackupLeaders);
 }
 
 // Guards against callers that are sent for half a minute to an instance which
 // has gone: the leader's word counts for a moment, and an empty one for
 // nothing.
 BOOST_AUTO_TEST_CASE(RosterCountsForAMoment) {
-  Roster roster;
-  roster.Take({}, At(0));
-  BOOST_TEST(!roster.Holds(At(0)));
-  roster.Take({1, 2}, At(0));
-  roster.Take({}, At(1000));
-  BOOST_TEST(roster.Holds(At(1500)));
-  BOOST_TEST(!roster.Holds(At(1501)));
+  ReadyInstanceList ready_list;
+  ready_list.Update({}, At(0));
+  BOOST_TEST(!ready_list.IsCurrent(At(0)));
+  ready_list.Update({1, 2}, At(0));
+  ready_list.Update({}, At(1000));
+  BOOST_TEST(ready_list.IsCurrent(At(1500)));
+  BOOST_TEST(!ready_list.IsCurrent(At(1501)));
 }
 
 BOOST_AUTO_TEST_CASE(AddressesSurviveAsNumbers) {
@@ -480,7 +480,7 @@
 // peer of a large fleet, whose turn comes seldom.
 BOOST_AUTO_TEST_CASE(SilentLeaderIsNoLeader) {
   PeerTable table("own");
-  table.SetSilentAfter(milliseconds(20000));
+  table.SetPeerTimeout(milliseconds(20000));
   Beacon beacon = MakeBeacon("leader", 1);
   beacon.leads = true;
   table.OnBeacon("10.0.0.1:7", beacon, At(0));
@@ -501,9 +501,9 @@
   table.OnBeacon("10.0.0.2:7", beacon, At(0));
   table.AddAddress("10.0.0.3:7", At(0));
   const std::vector<std::string> near = {"10.0.0.1:7", "10.0.0.3:7"};
-  BOOST_TEST(table.AddressesNear("a", At(0)) == near,
+  BOOST_TEST(table.AddressesInDomain("a", At(0)) == near,
              boost::test_tools::per_element());
-  BOOST_TEST(table.AddressesFar("a", At(0)).size() == 1U);
+  BOOST_TEST(table.AddressesInOtherDomains("a", At(0)).size() == 1U);
 }
 
 }  // namespace
--- a/unittests/instance/store_sync_test.cc
+++ b/unittests/instance/store_sync_test.cc
@@ -42,12 +42,12 @@
 }
 
 // Guards against hundreds of instances that read for themselves when the leader
-// has died: a deputy has read, and told them, before their proofs get too old.
+// has died: a backup leader has read, and told them, before their proofs get too old.
 BOOST_AUTO_TEST_CASE(DeputyReadsBeforeTheOthersMust) {
   constexpr Duration kBetweenDeputysMessages = milliseconds(500);
   constexpr Duration kBetweenOwnMessages = milliseconds(500);
   const StoreSyncTimes times{milliseconds(4000)};
-  BOOST_CHECK(times.deputy_proof + times.look_period + kBetweenOwnMessages +
+  BOOST_CHECK(times.backup_leader_confirmation + times.look_period + kBetweenOwnMessages +
                   kBetweenDeputysMessages <
               times.oldest_proof);
 }
--- a/unittests/membership/group.h
+++ b/unittests/membership/group.h
@@ -57,7 +57,7 @@
   /// Returns what \p id believes of \p other.
   std::optional<Status> Belief(const std::string& id,
                                const std::string& other) const {
-    const Member* member = this->members.at(id).Beliefs().Find(other);
+    const Member* member = this->members.at(id).CurrentView().Find(other);
     if (member == nullptr) return std::nullopt;
     return member->status;
   }
@@ -70,7 +70,7 @@
   bool AllAgree() const {
     std::set<std::uint64_t> digests;
     for (const auto& [id, member] : this->members) {
-      digests.insert(member.Beliefs().Digest());
+      digests.insert(member.CurrentView().Digest());
     }
     return digests.size() <= 1;
   }
--- a/unittests/membership/membership_test.cc
+++ b/unittests/membership/membership_test.cc
@@ -124,7 +124,7 @@
     return this->member.Tick(this->now);
   }
   bool Suspects() const {
-    return this->member.Beliefs().Find("r1")->status == Status::kSuspect;
+    return this->member.CurrentView().Find("r1")->status == Status::kSuspect;
   }
 };
 
@@ -163,7 +163,7 @@
   Message message = this->From(this->other);
   message.members.push_back({"r8", "a8", "d", 4, Status::kDead, false});
   this->member.OnProbe(message, this->now);
-  BOOST_TEST(this->member.Beliefs().Find("r8") == nullptr);
+  BOOST_TEST(this->member.CurrentView().Find("r8") == nullptr);
 }
 
 BOOST_FIXTURE_TEST_CASE(AFalseClaimIsDeniedByAHigherIncarnation, Alone) {
@@ -199,7 +199,7 @@
   group.At("r1").Publish(ItemKind::kGeneration, "", "3");
   group.Run(60);
   BOOST_TEST(group.AllBelieve("r1", Status::kAlive));
-  const auto items = group.At("r0").Beliefs().Items(ItemKind::kGeneration);
+  const auto items = group.At("r0").CurrentView().Items(ItemKind::kGeneration);
   BOOST_TEST(items.size() == 1u);
   BOOST_TEST(items.front().value == "3");
 }
@@ -213,7 +213,7 @@
   group.Run(10);
   for (std::size_t at = 0; at < 24; ++at) {
     if (at == 1) continue;
-    const View& beliefs = group.At(Group::Name(at)).Beliefs();
+    const View& beliefs = group.At(Group::Name(at)).CurrentView();
     BOOST_TEST(beliefs.Find("r1")->leaving);
   }
 }
@@ -235,7 +235,7 @@
   group.Run(100);
   for (std::size_t at = 0; at < 6; ++at) {
     const auto items =
-        group.At(Group::Name(at)).Beliefs().Items(ItemKind::kEndpointLoad);
+        group.At(Group::Name(at)).CurrentView().Items(ItemKind::kEndpointLoad);
     RC_ASSERT(items.size() == 1u);
     RC_ASSERT(items.front().value == "20");
   }
--- a/unittests/store/call_gate_test.cc
+++ b/unittests/store/call_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/store/call_gate.h"
+#include "toucanwharf/store/call_limiter.h"
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -12,16 +12,16 @@
 
 /// Calls of all instances together in each step; each wants to call always.
 std::vector<int> PlayOutage(int steps, int down_from, int down_until) {
-  std::vector<CallGate> gates;
+  std::vector<CallLimiter> gates;
   for (std::uint64_t seed = 0; seed < kInstances; ++seed) {
-    gates.emplace_back(GateLimits{}, Random(seed));
+    gates.emplace_back(CallLimits{}, Random(seed));
   }
   std::vector<int> calls(static_cast<std::size_t>(steps), 0);
   ManualClock clock;
   for (int step = 0; step < steps; ++step, clock.Advance(kStep)) {
     const bool down = step >= down_from && step < down_until;
-    for (CallGate& gate : gates) {
-      while (gate.TryEnter(clock.Now())) {
+    for (CallLimiter& gate : gates) {
+      while (gate.TryAcquire(clock.Now())) {
         ++calls[static_cast<std::size_t>(step)];
         if (down) {
           gate.OnFailure(clock.Now());
--- a/unittests/store/conditional_write_test.cc
+++ b/unittests/store/conditional_write_test.cc
@@ -83,7 +83,7 @@
   BOOST_TEST((write.Next() == ConditionalWrite::Step::kRead));
   write.OnRead({ReadStatus::kFound, Object{kKey, 7, "other", "new"}});
   BOOST_TEST((write.Next() == ConditionalWrite::Step::kConflict));
-  BOOST_TEST(write.Obstacle()->value == "new");
+  BOOST_TEST(write.ConflictingObject()->value == "new");
 }
 
 // The object was deleted under the writer. It is told so, and doesn't wait
@@ -95,7 +95,7 @@
   ConditionalWrite write(Write{kKey, "mine", base, "1"});
   Finish(write, map);
   BOOST_TEST((write.Next() == ConditionalWrite::Step::kConflict));
-  BOOST_TEST(!write.Obstacle().has_value());
+  BOOST_TEST(!write.ConflictingObject().has_value());
 }
 
 }  // namespace
