--- a/lib/instance/metrics.cc
+++ b/lib/instance/metrics.cc
@@ -110,7 +110,7 @@
                static_cast<double>(state.endpoints.All().size()));
   writer.Gauge("endpoints_kept",
                "endpoints in use though the newest list lacks them",
-               static_cast<double>(state.endpoints.Kept()));
+               static_cast<double>(state.endpoints.RetainedCount()));
   writer.Gauge("peers", "other instances heard of lately",
                static_cast<double>(state.peers.AllLive(now).size()));
   writer.Gauge("ready", "whether callers are sent here",
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -8,7 +8,7 @@
 namespace toucanwharf::instance {
 namespace {
 
-using endpoints::LoadBook;
+using endpoints::LoadTracker;
 using eventlog::Fields;
 using eventlog::Level;
 using gossip::PortOf;
@@ -84,47 +84,47 @@
 }
 
 void PeerLink::AddRegistered(
-    const std::vector<gossip::DeputyCandidate>& registered) {
-  std::vector<gossip::DeputyCandidate> candidates = registered;
-  for (gossip::DeputyCandidate& one : candidates) {
+    const std::vector<gossip::BackupLeaderCandidate>& registered) {
+  std::vector<gossip::BackupLeaderCandidate> candidates = registered;
+  for (gossip::BackupLeaderCandidate& one : candidates) {
     this->AddInstance(one.address);
     one.address = this->DatagramAddressOf(one.address);
   }
-  const bool wanted = this->state.peers.Large(this->loop.Now()) &&
-                      this->state.deputies.empty();
+  const bool wanted = this->state.peers.IsLargeFleet(this->loop.Now()) &&
+                      this->state.backup_leaders.empty();
   if (!wanted) return;
-  this->SetDeputies(gossip::ChooseDeputies(std::move(candidates), ""));
+  this->SetBackupLeaders(gossip::ChooseBackupLeaders(std::move(candidates), ""));
 }
 
-void PeerLink::SetDeputies(std::vector<std::string> addresses) {
-  this->state.deputies = std::move(addresses);
-  const auto& all = this->state.deputies;
-  this->state.deputy =
+void PeerLink::SetBackupLeaders(std::vector<std::string> addresses) {
+  this->state.backup_leaders = std::move(addresses);
+  const auto& all = this->state.backup_leaders;
+  this->state.is_backup_leader =
       std::find(all.begin(), all.end(), this->settings.datagram_address) !=
       all.end();
 }
 
 void PeerLink::Tick() {
   const TimePoint now = this->loop.Now();
-  const bool large = this->state.peers.Large(now);
+  const bool large = this->state.peers.IsLargeFleet(now);
   const bool leads = this->state.leads;
-  const bool hub = leads || this->state.deputy;
-  if (!hub) this->hub_since.reset();
-  if (hub && !this->hub_since) this->hub_since = now;
-  const bool led = leads || !large || this->state.roster.Holds(now) ||
+  const bool coordinator = leads || this->state.is_backup_leader;
+  if (!coordinator) this->coordinator_since.reset();
+  if (coordinator && !this->coordinator_since) this->coordinator_since = now;
+  const bool led = leads || !large || this->state.ready_list.IsCurrent(now) ||
                    !this->state.peers.Leader(now).empty();
-  this->state.loads.AssumeAlike(led ? 0
-                                      : this->state.peers.Instances(now) - 1);
+  this->state.loads.AssumeEqualPeerLoad(led ? 0
+                                      : this->state.peers.InstanceCount(now) - 1);
   const std::size_t near =
-      this->state.peers.AddressesNear(this->settings.failure_domain, now)
+      this->state.peers.AddressesInDomain(this->settings.failure_domain, now)
           .size();
-  this->state.peers.SetSilentAfter(
-      this->HearsAll(now) ? gossip::RotationSettings().least_silence
-                          : this->rotation.SilentAfter(near));
+  this->state.peers.SetPeerTimeout(
+      this->HearsAll(now) ? gossip::BeaconScheduleSettings().min_peer_timeout
+                          : this->rotation.PeerTimeout(near));
   this->AdoptProofs(now);
-  if (large && hub) this->SumLoads(now);
+  if (large && coordinator) this->SumLoads(now);
   auto told = this->rotation.Next(this->MakeAudience(now));
-  if (this->rotation.WentToEveryone()) {
+  if (this->rotation.LastRoundWasBroadcast()) {
     this->about = this->ranges.Next(this->state.endpoints.All().size());
   }
   this->Tell(std::move(told), 0);
@@ -132,31 +132,31 @@
   this->loop.After(this->rotation.Period(), [this] { this->Tick(); });
 }
 
-gossip::Audience PeerLink::MakeAudience(TimePoint now) const {
+gossip::BeaconTargets PeerLink::MakeAudience(TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
-  gossip::Audience audience;
-  audience.near = peers.AddressesNear(this->settings.failure_domain, now);
-  audience.far = peers.AddressesFar(this->settings.failure_domain, now);
+  gossip::BeaconTargets audience;
+  audience.same_domain = peers.AddressesInDomain(this->settings.failure_domain, now);
+  audience.other_domains = peers.AddressesInOtherDomains(this->settings.failure_domain, now);
   audience.leader = peers.Leader(now);
-  audience.deputies = this->OtherDeputies(audience.leader);
-  audience.is_hub = this->state.leads || this->state.deputy;
+  audience.backup_leaders = this->OtherBackupLeaders(audience.leader);
+  audience.is_coordinator = this->state.leads || this->state.is_backup_leader;
   return audience;
 }
 
-std::vector<std::string> PeerLink::OtherDeputies(
+std::vector<std::string> PeerLink::OtherBackupLeaders(
     const std::string& leader) const {
   std::vector<std::string> others;
-  for (const std::string& one : this->state.deputies) {
+  for (const std::string& one : this->state.backup_leaders) {
     const bool other = one != this->settings.datagram_address && one != leader;
     if (other) others.push_back(one);
   }
   return others;
 }
 
-/// Two deputies tell the same, and hear the same.
+/// Two backup leaders tell the same, and hear the same.
 bool PeerLink::SpeaksForFleet(TimePoint now) const {
   if (this->state.leads) return true;
-  return this->state.deputy && this->HearsAll(now) &&
+  return this->state.is_backup_leader && this->HearsAll(now) &&
          this->state.peers.Leader(now).empty();
 }
 
@@ -177,35 +177,35 @@
 }
 
 bool PeerLink::HearsAll(TimePoint now) const {
-  return this->hub_since && now - *this->hub_since >= kAllHeardAfter;
+  return this->coordinator_since && now - *this->coordinator_since >= kAllHeardAfter;
 }
 
 void PeerLink::Announce() {
   // Many things may change in one moment; one message tells of them all.
   if (this->announcing) return;
   this->announcing = true;
-  const bool large = this->state.peers.Large(this->loop.Now());
+  const bool large = this->state.peers.IsLargeFleet(this->loop.Now());
   const bool at_once = !large || this->state.stopping_since;
   this->loop.After(at_once ? Duration(0) : kGatherNews, [this] {
     this->announcing = false;
     const TimePoint now = this->loop.Now();
     this->SendTo(
         this->state.peers.Addresses(now),
-        this->state.peers.Large(now) ? Content::kOwn : Content::kFleet);
+        this->state.peers.IsLargeFleet(now) ? Content::kOwn : Content::kFleet);
   });
 }
 
 void PeerLink::AnnounceChange() {
   const bool by_leader =
-      this->state.peers.Large(this->loop.Now()) && !this->state.leads;
+      this->state.peers.IsLargeFleet(this->loop.Now()) && !this->state.leads;
   if (!by_leader) this->Announce();
 }
 
 void PeerLink::AnnounceToDomain() {
   const TimePoint now = this->loop.Now();
   const gossip::PeerTable& peers = this->state.peers;
-  if (!peers.Large(now)) return;
-  this->SendTo(peers.AddressesNear(this->settings.failure_domain, now),
+  if (!peers.IsLargeFleet(now)) return;
+  this->SendTo(peers.AddressesInDomain(this->settings.failure_domain, now),
                Content::kOwn);
 }
 
@@ -213,7 +213,7 @@
   const TimePoint now = this->loop.Now();
   const std::string leader = this->state.peers.Leader(now);
   const bool by_leader =
-      this->state.peers.Large(now) && !this->state.leads && !leader.empty();
+      this->state.peers.IsLargeFleet(now) && !this->state.leads && !leader.empty();
   if (by_leader) {
     this->SendTo({leader}, Content::kOwn);
   } else {
@@ -234,25 +234,25 @@
   beacon.leads = this->state.leads;
   beacon.configuration_revision = this->state.configuration_revision;
   beacon.configuration_age = this->state.freshness.Age(now);
-  beacon.endpoints_revision = this->state.endpoints.ChangedAt();
+  beacon.endpoints_revision = this->state.endpoints.ChangedRevision();
   if (const auto confirmed = this->state.endpoints.ConfirmedAt()) {
     beacon.endpoints_age = now - *confirmed;
   }
   beacon.stamp = now.since_start.count();
-  beacon.loads = this->state.loads.Own();
+  beacon.loads = this->state.loads.Local();
   beacon.suspicions = this->state.loads.Suspicions(now, this->state.leads);
   return beacon;
 }
 
 void PeerLink::AddFleet(gossip::Beacon& beacon, TimePoint now) const {
-  beacon.about = this->about;
-  for (const gossip::EngineFact& fact : this->facts) {
+  beacon.covered_keys = this->about;
+  for (const gossip::EngineStatus& fact : this->facts) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.Find(fact.endpoint);
-    if (endpoint == nullptr || endpoint->born != fact.born) continue;
+    if (endpoint == nullptr || endpoint->start_time_ms != fact.start_time_ms) continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
-    beacon.facts.push_back(
+    beacon.engine_statuses.push_back(
         {key, fact.layers, fact.slowdown, fact.token_layers});
   }
   if (!this->SpeaksForFleet(now)) return;
@@ -263,12 +263,12 @@
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
     beacon.fleet_loads.push_back(
-        {key, load.answers, load.token_layers, load.first_of});
+        {key, load.answers, load.token_layers, load.first_stage_answers});
   }
-  const bool tells_all = this->state.peers.Large(now) && this->HearsAll(now);
+  const bool tells_all = this->state.peers.IsLargeFleet(now) && this->HearsAll(now);
   if (tells_all) beacon.ready_instances = this->ReadyInstances(now);
   if (tells_all && this->state.leads) {
-    beacon.deputies = gossip::ChooseDeputies(
+    beacon.backup_leaders = gossip::ChooseBackupLeaders(
         this->state.peers, this->settings.failure_domain, now);
   }
 }
@@ -290,16 +290,16 @@
   if (addresses.empty()) return;
   const TimePoint now = this->loop.Now();
   gossip::Beacon beacon = this->MakeBeacon(now);
-  gossip::KeepToDatagram(beacon);
+  gossip::TrimToDatagram(beacon);
   if (content == Content::kFleet) this->AddFleet(beacon, now);
   const gossip::EncodedBeacon usual(beacon);
   const std::string leader = this->state.peers.Leader(now);
-  const auto deputies = this->OtherDeputies(leader);
-  // In a large fleet only the leader and its deputies add up what the others
+  const auto backup_leaders = this->OtherBackupLeaders(leader);
+  // In a large fleet only the leader and its backup leaders add up what the others
   // have under way, and tell all of them the sum: the single loads are most of
   // a beacon.
   gossip::Beacon brief = beacon;
-  if (this->state.peers.Large(now)) brief.loads.clear();
+  if (this->state.peers.IsLargeFleet(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
   auto known = this->state.peers.Addresses(now);
   std::shuffle(known.begin(), known.end(), this->random);
@@ -312,7 +312,7 @@
     const bool introduce = this->MayKnowNobody(address, now);
     const bool to_hub =
         address == leader ||
-        std::find(deputies.begin(), deputies.end(), address) != deputies.end();
+        std::find(backup_leaders.begin(), backup_leaders.end(), address) != backup_leaders.end();
     const gossip::EncodedBeacon& known_as = to_hub ? usual : to_followers;
     const std::string bytes =
         (introduce ? introducing : known_as).For(last.at, last.instance);
@@ -335,12 +335,12 @@
 /// those of other failure domains are seldom heard of, but once is enough.
 bool PeerLink::MayKnowNobody(const std::string& address, TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
-  return peers.Large(now) ? !peers.Heard(address)
+  return peers.IsLargeFleet(now) ? !peers.EverContacted(address)
                           : peers.Live(address, now) == nullptr;
 }
 
 void PeerLink::LogPeers(TimePoint now) {
-  const bool hears_few = this->state.peers.Large(now) && !this->state.leads;
+  const bool hears_few = this->state.peers.IsLargeFleet(now) && !this->state.leads;
   std::set<std::string> live;
   for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     // Those of other failure domains are heard of about once a minute.
@@ -384,15 +384,15 @@
   for (const gossip::Suspicion& one : beacon.suspicions) {
     this->AdoptSuspicion(one, now);
   }
-  const bool large = this->state.peers.Large(now);
+  const bool large = this->state.peers.IsLargeFleet(now);
   const bool speaks =
-      beacon.leads || !beacon.facts.empty() || !beacon.ready_instances.empty();
+      beacon.leads || !beacon.engine_statuses.empty() || !beacon.ready_instances.empty();
   if (speaks) this->AdoptFleet(beacon, now);
   if (!large) this->SumLoads(now);
   // Hundreds of beacons a second come to the leader of a large fleet, and to
   // look through all peers for each of them is most of its time. The next
   // round takes what they prove.
-  const bool hears_few = !this->state.leads && !this->state.deputy;
+  const bool hears_few = !this->state.leads && !this->state.is_backup_leader;
   if (!large || hears_few) this->AdoptProofs(now);
 }
 
@@ -401,53 +401,53 @@
 /// all lately.
 void PeerLink::AdoptFleet(const gossip::Beacon& beacon, TimePoint now) {
   // The turn of a part comes after that of all others.
-  const auto others = static_cast<std::int64_t>(beacon.about.Parts() - 1);
+  const auto others = static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
   const TimePoint facts_until =
-      now + kFactsFor + this->rotation.HubPeriod() * others;
-  for (const gossip::KeyedFact& fact : beacon.facts) {
+      now + kFactsFor + this->rotation.CoordinatorPeriod() * others;
+  for (const gossip::KeyedEngineStatus& fact : beacon.engine_statuses) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.FindByKey(fact.key);
     if (endpoint == nullptr) continue;
-    this->state.loads.SetFact({endpoint->id, endpoint->born, fact.layers,
+    this->state.loads.SetEngineStatus({endpoint->id, endpoint->start_time_ms, fact.layers,
                                  fact.slowdown, fact.token_layers},
                                 facts_until);
   }
-  const bool follows = this->state.peers.Large(now) && !this->state.leads;
+  const bool follows = this->state.peers.IsLargeFleet(now) && !this->state.leads;
   if (!follows) return;
-  this->state.roster.Take(beacon.ready_instances, now);
-  if (!beacon.deputies.empty()) this->SetDeputies(beacon.deputies);
+  this->state.ready_list.Update(beacon.ready_instances, now);
+  if (!beacon.backup_leaders.empty()) this->SetBackupLeaders(beacon.backup_leaders);
   const std::string port = PortOf(this->settings.datagram_address);
   for (const std::uint32_t number : beacon.ready_instances) {
-    this->state.peers.NoteSign(gossip::AddressOf(number, port), now);
+    this->state.peers.RecordLiveness(gossip::AddressOf(number, port), now);
   }
   // Without loads, only one that hears all says that endpoints are idle.
   const bool tells_loads =
       !beacon.fleet_loads.empty() || !beacon.ready_instances.empty();
-  // A deputy adds up what it hears itself.
-  if (!tells_loads || this->state.deputy) return;
-  this->fleet_loads.Take(beacon.about, beacon.fleet_loads);
+  // A backup leader adds up what it hears itself.
+  if (!tells_loads || this->state.is_backup_leader) return;
+  this->fleet_loads.Update(beacon.covered_keys, beacon.fleet_loads);
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::KeyedLoad& load : this->fleet_loads.All()) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.FindByKey(load.key);
     if (endpoint == nullptr) continue;
     loads.push_back(
-        {endpoint->id, load.answers, load.token_layers, load.first_of});
+        {endpoint->id, load.answers, load.token_layers, load.first_stage_answers});
   }
-  this->state.loads.SetFleet(loads);
+  this->state.loads.SetFleetLoads(loads);
 }
 
 void PeerLink::AdoptProofs(TimePoint now) {
-  const auto configuration = this->state.peers.ConfigurationVouched(
+  const auto configuration = this->state.peers.ConfigurationConfirmedAt(
       this->state.configuration_revision, now);
   if (configuration && this->state.table) {
     this->state.freshness.Confirm(*configuration);
   }
-  if (const auto answered = this->state.peers.StoreAnswered(now)) {
+  if (const auto answered = this->state.peers.StoreAnsweredAt(now)) {
     this->state.endpoints.OnStoreAnswered(*answered, now);
   }
   const std::uint64_t revision = this->state.endpoints.Revision();
-  const auto listed = this->state.peers.EndpointsVouched(revision, now);
+  const auto listed = this->state.peers.EndpointsConfirmedAt(revision, now);
   if (!listed || revision == 0) return;
   if (!this->state.endpoints.Confirm(*listed, now)) return;
   this->lists.OnList(this->state.endpoints, ListCause::kGraceOver, true, 0,
@@ -455,16 +455,16 @@
 }
 
 void PeerLink::AdoptSuspicion(const gossip::Suspicion& one, TimePoint now) {
-  LoadBook& loads = this->state.loads;
+  LoadTracker& loads = this->state.loads;
   const TimePoint until = now + std::min(one.remaining, kLongestSuspicion);
-  if (!one.silent) {
+  if (!one.unresponsive) {
     loads.Suspect(one.endpoint, until);
     return;
   }
-  if (!loads.HeardSilent(one.endpoint, until, now)) return;
+  if (!loads.MarkReportedUnresponsive(one.endpoint, until, now)) return;
   this->logger.Write(Level::kNotable, "peer_found_engine_silent",
                      Fields().Text("endpoint", one.endpoint), now);
-  if (this->state.leads && this->state.peers.Large(now)) this->Announce();
+  if (this->state.leads && this->state.peers.IsLargeFleet(now)) this->Announce();
   if (this->engine_silent) this->engine_silent(one.endpoint);
 }
 
@@ -472,12 +472,12 @@
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     const bool counts = !this->settings.mechanisms.silent_peers ||
-                        now - peer->heard <= kLoadsCountFor;
+                        now - peer->last_beacon_at <= kLoadsCountFor;
     if (!counts) continue;
     const auto& theirs = peer->beacon.loads;
     loads.insert(loads.end(), theirs.begin(), theirs.end());
   }
-  this->state.loads.SetPeers(loads);
+  this->state.loads.SetPeerLoads(loads);
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/proxied_request.cc
+++ b/lib/instance/proxied_request.cc
@@ -497,7 +497,7 @@
 
 void ProxiedRequest::ReleaseLoad() {
   for (const auto& load : this->counted) {
-    this->gateway.state.loads.Ended(load);
+    this->gateway.state.loads.RemoveInFlight(load);
   }
   this->counted.clear();
 }
