--- a/bench/once/main.cc
+++ b/bench/once/main.cc
@@ -246,7 +246,7 @@
   void Conclude(std::size_t index, const std::string& key) {
     const once::Outcome outcome{200, "application/json",
                                 std::string(kOutcomeBytes, 'x'), true};
-    this->shards[index].Conclude(
+    this->shards[index].RecordOutcome(
         once::Entry{key, key, "", once::KeyState::kDone, outcome},
         this->schedule.Now());
   }
--- a/include/toucanwharf/daemon/answer_runner.h
+++ b/include/toucanwharf/daemon/answer_runner.h
@@ -11,7 +11,7 @@
 #include "toucanwharf/daemon/answer_gate.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/pipeline/answer.h"
-#include "toucanwharf/pipeline/answer_machine.h"
+#include "toucanwharf/pipeline/answer_state_machine.h"
 #include "toucanwharf/timeline/buffer.h"
 #include "toucanwharf/transport/event_loop.h"
 #include "toucanwharf/transport/event_stream.h"
@@ -33,7 +33,7 @@
 /// on_finish, on_fail or, instead of everything else, on_refuse comes once,
 /// last.
 struct AnswerHandlers {
-  std::function<void(const pipeline::Emit&)> on_token;
+  std::function<void(const pipeline::EmitToken&)> on_token;
   std::function<void(const pipeline::Finish&)> on_finish;
   std::function<void(const pipeline::Fail&)> on_fail;
   /// Nothing of the answer was handed to any endpoint (I3).
@@ -75,13 +75,13 @@
   void PerformAll(const Run& run, const pipeline::Actions& actions);
   void Perform(const Run& run, const pipeline::RequestPlan& action);
   void Perform(const Run& run, const pipeline::StartAttempt& action);
-  void Perform(const Run& run, const pipeline::Emit& action);
+  void Perform(const Run& run, const pipeline::EmitToken& action);
   void Perform(const Run& run, const pipeline::Cancel& action);
   void Perform(const Run& run, const pipeline::ProbeStages& action);
   void Perform(const Run& run, const pipeline::SuspectConnection& action);
   void Perform(const Run& run, const pipeline::SuspectEndpoint& action);
   void Perform(const Run& run, const pipeline::ArmTimer& action);
-  void Perform(const Run& run, const pipeline::Recovered& action);
+  void Perform(const Run& run, const pipeline::RecordRecovery& action);
   void Perform(const Run& run, const pipeline::Finish& action);
   void Perform(const Run& run, const pipeline::Fail& action);
 
--- a/include/toucanwharf/daemon/answer_sessions.h
+++ b/include/toucanwharf/daemon/answer_sessions.h
@@ -82,7 +82,7 @@
   struct Session;
   using Shared = std::shared_ptr<Session>;
 
-  void TakeToken(const Shared& session, const pipeline::Emit& token);
+  void TakeToken(const Shared& session, const pipeline::EmitToken& token);
   void TakeFinish(const Shared& session, const pipeline::Finish& finish);
   void TakeRefusal(const Shared& session, const admission::Refusal& refused);
   void SendRefusal(const Shared& session, const Refusal& refusal);
--- a/include/toucanwharf/once/entry.h
+++ b/include/toucanwharf/once/entry.h
@@ -13,7 +13,7 @@
 namespace toucanwharf::once {
 
 /// Why a call with an idempotency key is refused.
-enum class OnceError {
+enum class IdempotencyError {
   kKeyMalformed = 1,
   kKeyTooOld,
   kKeyReused,
@@ -23,10 +23,10 @@
   kJournalUnreachable,
 };
 
-/// Returns the category of OnceError; its messages name the remedy.
+/// Returns the category of IdempotencyError; its messages name the remedy.
 /// Thread safety: safe.
-const std::error_category& OnceCategory();
-std::error_code make_error_code(OnceError error);
+const std::error_category& IdempotencyCategory();
+std::error_code make_error_code(IdempotencyError error);
 
 /// Whether a refused request ran. It speaks of the request, so of every
 /// attempt with the same key, and not only of this one (I3).
@@ -36,10 +36,10 @@
 struct Outcome {
   int status = 0;
   std::string content_type;
-  /// At most kMaxKeptBody bytes of UTF-8; see `whole`.
+  /// At most kMaxKeptBody bytes of UTF-8; see `body_retained`.
   std::string body;
   /// False when the body couldn't be kept; then it is empty.
-  bool whole = true;
+  bool body_retained = true;
 
   friend bool operator==(const Outcome&, const Outcome&) = default;
 };
@@ -56,7 +56,7 @@
   /// Its claimant proved that nothing ran; the key may be claimed again.
   kNotRun,
   /// Its claimant lost the answer; whether it ran can't be known.
-  kLost,
+  kOutcomeLost,
 };
 
 /// One line of the journal: a claim (kClaimed), or how a claim ended.
@@ -93,7 +93,7 @@
 
 /// The attempt must not send anything.
 struct Refused {
-  OnceError reason = OnceError::kJournalUnreachable;
+  IdempotencyError reason = IdempotencyError::kJournalUnreachable;
   Ran ran = Ran::kUnknown;
 
   friend bool operator==(const Refused&, const Refused&) = default;
@@ -113,7 +113,7 @@
 }  // namespace toucanwharf::once
 
 template <>
-struct std::is_error_code_enum<toucanwharf::once::OnceError> : std::true_type {
+struct std::is_error_code_enum<toucanwharf::once::IdempotencyError> : std::true_type {
 };
 
 #endif  // TOUCANWHARF_ONCE_ENTRY_H_
--- a/include/toucanwharf/once/shard.h
+++ b/include/toucanwharf/once/shard.h
@@ -67,7 +67,7 @@
   /// Precondition: request.claim is new, or repeats the same request.
   void Claim(ClaimRequest request);
   /// Records how a granted claim ended: an Entry of any state but kClaimed.
-  void Conclude(Entry conclusion, TimePoint now);
+  void RecordOutcome(Entry conclusion, TimePoint now);
 
   /// Returns the call to make now, if any. At most one is outstanding; each is
   /// answered by exactly one OnRead or OnWrite, also on a timeout.
--- a/include/toucanwharf/pipeline/answer.h
+++ b/include/toucanwharf/pipeline/answer.h
@@ -88,7 +88,7 @@
 struct TimerFired {};
 
 /// The caller closed its connection and did not ask for the answer to go on.
-struct CallerLeft {};
+struct CallerDisconnected {};
 
 /// The plan that `RequestPlan` asked for.
 struct PlanReady {
@@ -103,7 +103,7 @@
 };
 
 /// The outcome of one probe of `ProbeStages`.
-struct ProbeAnswered {
+struct ProbeCompleted {
   std::uint32_t attempt = 0;
   std::string endpoint;
   /// Whether it answered on a fresh connection within the deadline.
@@ -112,7 +112,7 @@
 
 using Event =
     std::variant<TokenArrived, StreamFailed, StreamEnded, AttemptRefused,
-                 TimerFired, CallerLeft, PlanReady, PlanFailed, ProbeAnswered>;
+                 TimerFired, CallerDisconnected, PlanReady, PlanFailed, ProbeCompleted>;
 
 // ---- Actions ----------------------------------------------------------------
 
@@ -151,11 +151,11 @@
 };
 
 /// Hand the token out to the caller, and keep it for a resume.
-struct Emit {
+struct EmitToken {
   std::uint32_t index = 0;
   std::string text;
 
-  friend bool operator==(const Emit&, const Emit&) = default;
+  friend bool operator==(const EmitToken&, const EmitToken&) = default;
 };
 
 /// Close the attempt's stream and cancel it at all stages of its plan.
@@ -167,7 +167,7 @@
 };
 
 /// Ask each stage's endpoint for its status on a fresh connection; answer each
-/// with ProbeAnswered, at the latest at \p deadline.
+/// with ProbeCompleted, at the latest at \p deadline.
 struct ProbeStages {
   std::uint32_t attempt = 0;
   std::vector<Stage> stages;
@@ -202,16 +202,16 @@
 };
 
 /// What a recovery took, once its first token is handed out; for the time line.
-struct Recovered {
+struct RecordRecovery {
   std::uint32_t attempt = 0;
   /// Last progress before the fault to the moment it was noticed.
-  Duration noticing{0};
+  Duration detection{0};
   /// To the start of the attempt that then progressed, other attempts included.
   Duration replanning{0};
   /// To the next token.
   Duration resuming{0};
 
-  friend bool operator==(const Recovered&, const Recovered&) = default;
+  friend bool operator==(const RecordRecovery&, const RecordRecovery&) = default;
 };
 
 /// The answer is whole. Nothing follows.
@@ -229,9 +229,9 @@
   friend bool operator==(const Fail&, const Fail&) = default;
 };
 
-using Action = std::variant<RequestPlan, StartAttempt, Emit, Cancel,
+using Action = std::variant<RequestPlan, StartAttempt, EmitToken, Cancel,
                             ProbeStages, SuspectConnection, SuspectEndpoint,
-                            ArmTimer, Recovered, Finish, Fail>;
+                            ArmTimer, RecordRecovery, Finish, Fail>;
 using Actions = std::vector<Action>;
 
 }  // namespace toucanwharf::pipeline
--- a/include/toucanwharf/pipeline/answer_log.h
+++ b/include/toucanwharf/pipeline/answer_log.h
@@ -51,7 +51,7 @@
   /// Precondition: the id is not kept yet.
   void Open(const std::string& request, const std::string& customer);
   /// Adds the next token. Without effect if the answer was dropped.
-  void Append(const std::string& request, const Emit& token);
+  void Append(const std::string& request, const EmitToken& token);
   /// Notes the answer's end at \p now. Without effect if it was dropped.
   void Close(const std::string& request, const End& end, TimePoint now);
   /// Drops answers whose time after the end has passed.
--- a/include/toucanwharf/pipeline/answer_machine.h
+++ b/include/toucanwharf/pipeline/answer_state_machine.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_PIPELINE_ANSWER_MACHINE_H_
-#define TOUCANWHARF_PIPELINE_ANSWER_MACHINE_H_
+#ifndef TOUCANWHARF_PIPELINE_ANSWER_STATE_MACHINE_H_
+#define TOUCANWHARF_PIPELINE_ANSWER_STATE_MACHINE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -41,11 +41,11 @@
 /// probe or the fresh connection fails too.
 ///
 /// Thread safety: none; for one thread.
-class AnswerMachine {
+class AnswerStateMachine {
  public:
   /// Makes the machine of \p request. Preconditions: its layers > 0 and
   /// its max_tokens > 0.
-  explicit AnswerMachine(AnswerRequest answer_request,
+  explicit AnswerStateMachine(AnswerRequest answer_request,
                          DeadlinePolicy deadline_policy = {});
 
   /// Asks for the first plan. Precondition: called once, before any event.
@@ -82,10 +82,10 @@
   void On(Step& step, const StreamEnded& end);
   void On(Step& step, const AttemptRefused& refusal);
   void On(Step& step, const TimerFired& timer);
-  void On(Step& step, const CallerLeft& leaving);
+  void On(Step& step, const CallerDisconnected& leaving);
   void On(Step& step, const PlanReady& ready);
   void On(Step& step, const PlanFailed& failure);
-  void On(Step& step, const ProbeAnswered& probe);
+  void On(Step& step, const ProbeCompleted& probe);
 
   bool IsCurrent(std::uint32_t of_attempt) const;
   bool Accept(Step& step, const TokenArrived& token);
@@ -151,4 +151,4 @@
 
 }  // namespace toucanwharf::pipeline
 
-#endif  // TOUCANWHARF_PIPELINE_ANSWER_MACHINE_H_
+#endif  // TOUCANWHARF_PIPELINE_ANSWER_STATE_MACHINE_H_
--- a/lib/daemon/answer_runner.cc
+++ b/lib/daemon/answer_runner.cc
@@ -63,7 +63,7 @@
 struct AnswerRunner::ActiveAnswer {
   AnswerJob job;
   AnswerHandlers handlers;
-  pipeline::AnswerMachine machine;
+  pipeline::AnswerStateMachine machine;
   // Events wait here while the actions of an earlier one are carried out, so
   // that an action which answers itself does not reenter the machine.
   std::deque<pipeline::Event> events;
@@ -140,7 +140,7 @@
     this->Refuse(run, {id, admission::RefusalReason::kDeadline, Duration(0)});
     return;
   }
-  this->Feed(run, pipeline::CallerLeft{});
+  this->Feed(run, pipeline::CallerDisconnected{});
 }
 
 void AnswerRunner::Feed(const Run& run, pipeline::Event event) {
@@ -259,7 +259,7 @@
   this->Feed(run, EndEvent(attempt, outcome));
 }
 
-void AnswerRunner::Perform(const Run& run, const pipeline::Emit& action) {
+void AnswerRunner::Perform(const Run& run, const pipeline::EmitToken& action) {
   const TimePoint now = this->loop.Now();
   if (run->last_token) {
     this->metrics.Observe("toucanwharf_token_gap_seconds",
@@ -304,7 +304,7 @@
       if (run->closed) return;
       const bool alive =
           outcome.end == CallEnd::kAnswered && outcome.status == kOk;
-      this->Feed(run, pipeline::ProbeAnswered{attempt, endpoint, alive});
+      this->Feed(run, pipeline::ProbeCompleted{attempt, endpoint, alive});
     };
     this->client.Start(std::move(call), {nullptr, on_done});
   }
@@ -332,14 +332,14 @@
       wait, [this, run] { this->Feed(run, pipeline::TimerFired{}); });
 }
 
-void AnswerRunner::Perform(const Run& run, const pipeline::Recovered& action) {
+void AnswerRunner::Perform(const Run& run, const pipeline::RecordRecovery& action) {
   this->Note(timeline::EventKind::kAnswerResumed, run, "",
-             absl::StrCat("noticed in ", action.noticing.count(),
+             absl::StrCat("noticed in ", action.detection.count(),
                           " us, replanned in ", action.replanning.count(),
                           " us, resumed in ", action.resuming.count(), " us"));
   this->metrics.Count("toucanwharf_recoveries_total");
   this->metrics.Observe("toucanwharf_recovery_noticing_seconds",
-                        action.noticing);
+                        action.detection);
   this->metrics.Observe("toucanwharf_recovery_replanning_seconds",
                         action.replanning);
   this->metrics.Observe("toucanwharf_recovery_resuming_seconds",
--- a/lib/daemon/answer_sessions.cc
+++ b/lib/daemon/answer_sessions.cc
@@ -94,7 +94,7 @@
   this->sessions.emplace(id, session);
   this->log.Open(id, session->request.customer);
   AnswerHandlers handlers;
-  handlers.on_token = [this, session](const pipeline::Emit& token) {
+  handlers.on_token = [this, session](const pipeline::EmitToken& token) {
     this->TakeToken(session, token);
   };
   handlers.on_finish = [this, session](const pipeline::Finish& finish) {
@@ -112,7 +112,7 @@
 }
 
 void AnswerSessions::TakeToken(const Shared& session,
-                               const pipeline::Emit& token) {
+                               const pipeline::EmitToken& token) {
   const std::string& id = session->request.job.request.id;
   this->log.Append(id, token);
   session->tokens.push_back(token.text);
--- a/lib/daemon/service_runner.cc
+++ b/lib/daemon/service_runner.cc
@@ -46,38 +46,38 @@
   return refusal;
 }
 
-int StatusOf(once::OnceError reason) {
+int StatusOf(once::IdempotencyError reason) {
   switch (reason) {
-    case once::OnceError::kKeyMalformed:
+    case once::IdempotencyError::kKeyMalformed:
       return kBadRequest;
-    case once::OnceError::kKeyReused:
+    case once::IdempotencyError::kKeyReused:
       return kUnprocessable;
-    case once::OnceError::kKeyTooOld:
-    case once::OnceError::kInProgress:
-    case once::OnceError::kOutcomeLost:
+    case once::IdempotencyError::kKeyTooOld:
+    case once::IdempotencyError::kInProgress:
+    case once::IdempotencyError::kOutcomeLost:
       return kConflict;
-    case once::OnceError::kJournalFull:
-    case once::OnceError::kJournalUnreachable:
+    case once::IdempotencyError::kJournalFull:
+    case once::IdempotencyError::kJournalUnreachable:
       return kUnavailable;
   }
   return kUnavailable;
 }
 
-const char* CodeOf(once::OnceError reason) {
+const char* CodeOf(once::IdempotencyError reason) {
   switch (reason) {
-    case once::OnceError::kKeyMalformed:
+    case once::IdempotencyError::kKeyMalformed:
       return "bad_idempotency_key";
-    case once::OnceError::kKeyReused:
+    case once::IdempotencyError::kKeyReused:
       return "idempotency_key_reused";
-    case once::OnceError::kKeyTooOld:
+    case once::IdempotencyError::kKeyTooOld:
       return "idempotency_key_too_old";
-    case once::OnceError::kInProgress:
+    case once::IdempotencyError::kInProgress:
       return "in_progress";
-    case once::OnceError::kOutcomeLost:
+    case once::IdempotencyError::kOutcomeLost:
       return "outcome_unknown";
-    case once::OnceError::kJournalFull:
+    case once::IdempotencyError::kJournalFull:
       return "journal_full";
-    case once::OnceError::kJournalUnreachable:
+    case once::IdempotencyError::kJournalUnreachable:
       return "journal_unreachable";
   }
   return "journal_unreachable";
@@ -173,7 +173,7 @@
   }
   this->metrics.Count("toucanwharf_once_repeats_total");
   auto& outcome = std::get<once::Outcome>(verdict);
-  if (!outcome.whole) {
+  if (!outcome.body_retained) {
     this->Finish(call,
                  MakeRefusal(call->job, kConflict, "outcome_not_kept",
                              "the request ran and its answer, status " +
@@ -190,7 +190,7 @@
 
 void ServiceRunner::Conclude(const Call& call, const ServiceResult& result) {
   if (!call.granted) return;
-  once::KeyState state = once::KeyState::kLost;
+  once::KeyState state = once::KeyState::kOutcomeLost;
   once::Outcome outcome;
   if (const auto* answer = std::get_if<ServiceAnswer>(&result)) {
     state = once::KeyState::kDone;
--- a/lib/once/segment.cc
+++ b/lib/once/segment.cc
@@ -17,14 +17,14 @@
   entry.digest = TextMember(json, "digest");
   const auto state = CountMember(json, "state");
   const bool known =
-      state.has_value() && *state <= static_cast<unsigned>(KeyState::kLost);
+      state.has_value() && *state <= static_cast<unsigned>(KeyState::kOutcomeLost);
   if (entry.key.empty() || entry.claim.empty() || !known) return std::nullopt;
   entry.state = static_cast<KeyState>(*state);
   entry.outcome.status =
       static_cast<int>(CountMember(json, "status").value_or(0));
   entry.outcome.content_type = TextMember(json, "type");
   entry.outcome.body = TextMember(json, "body");
-  entry.outcome.whole = !json.contains("cut");
+  entry.outcome.body_retained = !json.contains("cut");
   return entry;
 }
 
@@ -46,7 +46,7 @@
     json["status"] = static_cast<unsigned>(entry.outcome.status);
     json["type"] = entry.outcome.content_type;
     json["body"] = entry.outcome.body;
-    if (!entry.outcome.whole) json["cut"] = true;
+    if (!entry.outcome.body_retained) json["cut"] = true;
   }
   // Keys and types come from outside and need not be UTF-8.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
--- a/lib/once/shard.cc
+++ b/lib/once/shard.cc
@@ -22,10 +22,10 @@
   this->pending.push_back(Pending{std::move(request), false});
 }
 
-void Shard::Conclude(Entry conclusion, TimePoint now) {
+void Shard::RecordOutcome(Entry conclusion, TimePoint now) {
   if (!CanKeep(conclusion.outcome.body)) {
     conclusion.outcome.body.clear();
-    conclusion.outcome.whole = false;
+    conclusion.outcome.body_retained = false;
   }
   this->conclusions.push_back(
       Conclusion{std::move(conclusion), now + this->settings.outcome_delay});
--- a/lib/once/shard_claims.cc
+++ b/lib/once/shard_claims.cc
@@ -10,7 +10,7 @@
 namespace toucanwharf::once {
 namespace {
 
-Refused Unknown(OnceError reason) { return Refused{reason, Ran::kUnknown}; }
+Refused Unknown(IdempotencyError reason) { return Refused{reason, Ran::kUnknown}; }
 
 }  // namespace
 
@@ -22,9 +22,9 @@
       left.push_back(std::move(claim));
       continue;
     }
-    const OnceError reason = this->Waits(request)
-                                 ? OnceError::kInProgress
-                                 : OnceError::kJournalUnreachable;
+    const IdempotencyError reason = this->Waits(request)
+                                 ? IdempotencyError::kInProgress
+                                 : IdempotencyError::kJournalUnreachable;
     this->decisions.push_back(Decision{request.claim, Unknown(reason)});
     if (!claim.tried) continue;
     // The claim may be in the journal, or land there later, and nobody will
@@ -39,10 +39,10 @@
                                     std::uint64_t wall_millis) const {
   const ShardView::Known* known = this->view.Find(request.key);
   if (known != nullptr) {
-    if (known->digest != request.digest) return Unknown(OnceError::kKeyReused);
+    if (known->digest != request.digest) return Unknown(IdempotencyError::kKeyReused);
     if (known->state == KeyState::kDone) return known->outcome;
-    if (known->state == KeyState::kLost) {
-      return Unknown(OnceError::kOutcomeLost);
+    if (known->state == KeyState::kOutcomeLost) {
+      return Unknown(IdempotencyError::kOutcomeLost);
     }
     if (known->state == KeyState::kClaimed) {
       if (known->claim != request.claim) return std::nullopt;
@@ -51,12 +51,12 @@
   }
   const std::uint64_t latest =
       wall_millis + this->settings.clock_tolerance_millis;
-  if (request.key_millis > latest) return Unknown(OnceError::kKeyMalformed);
+  if (request.key_millis > latest) return Unknown(IdempotencyError::kKeyMalformed);
   // The key may have been in a segment that was overwritten since (I4).
   if (request.key_millis <= this->view.FloorMillis()) {
-    return Unknown(OnceError::kKeyTooOld);
+    return Unknown(IdempotencyError::kKeyTooOld);
   }
-  if (!this->HasRoom(wall_millis)) return Unknown(OnceError::kJournalFull);
+  if (!this->HasRoom(wall_millis)) return Unknown(IdempotencyError::kJournalFull);
   return std::nullopt;
 }
 
--- a/lib/pipeline/answer_log.cc
+++ b/lib/pipeline/answer_log.cc
@@ -25,7 +25,7 @@
   this->MakeRoom();
 }
 
-void AnswerLog::Append(const std::string& request, const Emit& token) {
+void AnswerLog::Append(const std::string& request, const EmitToken& token) {
   const auto found = this->entries.find(request);
   if (found == this->entries.end()) return;
   Entry& entry = found->second;
--- a/lib/pipeline/answer_machine.cc
+++ b/lib/pipeline/answer_state_machine.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/pipeline/answer_machine.h"
+#include "toucanwharf/pipeline/answer_state_machine.h"
 
 #include <algorithm>
 #include <cassert>
@@ -27,14 +27,14 @@
   return "unknown";
 }
 
-AnswerMachine::AnswerMachine(AnswerRequest answer_request,
+AnswerStateMachine::AnswerStateMachine(AnswerRequest answer_request,
                              DeadlinePolicy deadline_policy)
     : request(std::move(answer_request)), policy(deadline_policy) {
   assert(this->request.layers > 0 && "a model has at least one layer");
   assert(this->request.max_tokens > 0 && "an answer has at least one token");
 }
 
-Actions AnswerMachine::Start(TimePoint now) {
+Actions AnswerStateMachine::Start(TimePoint now) {
   Step step{now, {}};
   this->last_progress = now;
   this->AskForPlan(step);
@@ -42,7 +42,7 @@
   return std::move(step.actions);
 }
 
-Actions AnswerMachine::Handle(TimePoint now, const Event& event) {
+Actions AnswerStateMachine::Handle(TimePoint now, const Event& event) {
   if (this->Done()) return {};
   Step step{now, {}};
   std::visit([this, &step](const auto& typed) { this->On(step, typed); },
@@ -50,7 +50,7 @@
   return std::move(step.actions);
 }
 
-Ran AnswerMachine::RanSoFar() const {
+Ran AnswerStateMachine::RanSoFar() const {
   if (!this->tokens.empty()) return Ran::kPartly;
   // I3: `kNo` only while no attempt was handed to an endpoint, or each that
   // was refused before it ran.
@@ -58,17 +58,17 @@
   return may_have_run ? Ran::kUnknown : Ran::kNo;
 }
 
-std::uint32_t AnswerMachine::Next() const {
+std::uint32_t AnswerStateMachine::Next() const {
   return static_cast<std::uint32_t>(this->tokens.size());
 }
 
-bool AnswerMachine::IsCurrent(std::uint32_t of_attempt) const {
+bool AnswerStateMachine::IsCurrent(std::uint32_t of_attempt) const {
   return this->phase == Phase::kRunning && of_attempt == this->attempt;
 }
 
 // ---- Tokens -----------------------------------------------------------------
 
-void AnswerMachine::On(Step& step, const TokenArrived& token) {
+void AnswerStateMachine::On(Step& step, const TokenArrived& token) {
   if (!this->Accept(step, token)) return;
   this->HandOut(step, token);
   if (!token.last && this->Next() < this->request.max_tokens) {
@@ -81,7 +81,7 @@
   this->End(step, Finish{this->Next()});
 }
 
-bool AnswerMachine::Accept(Step& step, const TokenArrived& token) {
+bool AnswerStateMachine::Accept(Step& step, const TokenArrived& token) {
   // I2: a connection that carries several streams, or an id used twice, could
   // hand one caller's token to another; the name in the token itself decides.
   if (token.request != this->request.id) {
@@ -118,16 +118,16 @@
   return true;
 }
 
-void AnswerMachine::HandOut(Step& step, const TokenArrived& token) {
+void AnswerStateMachine::HandOut(Step& step, const TokenArrived& token) {
   this->NoteProgress(step);
   this->tokens.push_back(token.text);
-  step.actions.push_back(Emit{token.index, token.text});
+  step.actions.push_back(EmitToken{token.index, token.text});
   this->progress_deadline =
       step.now + this->policy.NextToken(this->plan->times, this->observed_gap);
   this->Arm(step, this->progress_deadline);
 }
 
-void AnswerMachine::NoteProgress(Step& step) {
+void AnswerStateMachine::NoteProgress(Step& step) {
   const Duration gap = step.now - this->last_progress;
   const bool gap_between_tokens = this->idle == 0 && !this->tokens.empty();
   if (gap_between_tokens) {
@@ -143,7 +143,7 @@
   if (!this->recovery) return;
   const Recovery& times = *this->recovery;
   step.actions.push_back(
-      Recovered{this->attempt, times.noticed - times.last_progress,
+      RecordRecovery{this->attempt, times.noticed - times.last_progress,
                 times.started - times.noticed, step.now - times.started});
   this->recovery.reset();
 }
@@ -152,7 +152,7 @@
 // deadline, so the answer would crawl to its end without a fault. The answer
 // moves once, and only when the tokens left repay a new prefill: under a load
 // that slows every endpoint, moving about would only add prefills.
-void AnswerMachine::LeaveSlowPlan(Step& step) {
+void AnswerStateMachine::LeaveSlowPlan(Step& step) {
   if (this->moved_for_speed) return;
   const PlanTimes& times = this->plan->times;
   if (this->observed_gap < this->policy.SlowGap(times)) return;
@@ -167,7 +167,7 @@
 
 // ---- Faults -----------------------------------------------------------------
 
-void AnswerMachine::On(Step& step, const StreamFailed& failure) {
+void AnswerStateMachine::On(Step& step, const StreamFailed& failure) {
   if (!this->IsCurrent(failure.attempt)) return;
   const bool not_sent =
       failure.ran == Ran::kNo || failure.fault == StreamFault::kConnectFailed;
@@ -194,13 +194,13 @@
   }
 }
 
-void AnswerMachine::On(Step& step, const StreamEnded& end) {
+void AnswerStateMachine::On(Step& step, const StreamEnded& end) {
   // A stream that ends in good order before the last token would pass as a
   // whole answer that is too short; it is a lost connection.
   if (this->IsCurrent(end.attempt)) this->ConnectionLost(step);
 }
 
-void AnswerMachine::On(Step& step, const AttemptRefused& refusal) {
+void AnswerStateMachine::On(Step& step, const AttemptRefused& refusal) {
   if (!this->IsCurrent(refusal.attempt)) return;
   const std::size_t stage = refusal.stage.value_or(0);
   const std::size_t last = this->plan->stages.size() - 1;
@@ -212,7 +212,7 @@
 // A reset proves only that something ended the connection. The instance that
 // sent it, or the one that answers next, settles within one round trip whether
 // the endpoint lives, and a live one still has the KV cache.
-void AnswerMachine::ConnectionLost(Step& step) {
+void AnswerStateMachine::ConnectionLost(Step& step) {
   if (this->checking_connection) {
     this->StageFailed(step, 0);
     return;
@@ -226,7 +226,7 @@
   this->ResumeSamePlan(step);
 }
 
-void AnswerMachine::Silent(Step& step) {
+void AnswerStateMachine::Silent(Step& step) {
   if (this->checking_connection) {
     // The fresh connection is silent too and no probe named a culprit, so the
     // fault is between the stages. All are avoided, none is suspected.
@@ -241,7 +241,7 @@
       ProbeStages{this->attempt, stages, step.now + this->policy.probe});
 }
 
-void AnswerMachine::On(Step& step, const ProbeAnswered& probe) {
+void AnswerStateMachine::On(Step& step, const ProbeCompleted& probe) {
   if (probe.alive) return;
   const bool progressed = this->idle == 0;
   // A probe can be lost on its own; tokens that flow say more than it does.
@@ -257,39 +257,39 @@
   if (on_plan) this->Replan(step);
 }
 
-void AnswerMachine::StageFailed(Step& step, std::size_t stage) {
+void AnswerStateMachine::StageFailed(Step& step, std::size_t stage) {
   const std::string endpoint = this->plan->stages[stage].endpoint;
   this->failed.insert(endpoint);
   step.actions.push_back(SuspectEndpoint{endpoint});
   this->Replan(step);
 }
 
-void AnswerMachine::AvoidStages() {
+void AnswerStateMachine::AvoidStages() {
   for (const Stage& stage : this->plan->stages) {
     this->avoided.insert(stage.endpoint);
   }
 }
 
-void AnswerMachine::NoteFault(const Step& step) {
+void AnswerStateMachine::NoteFault(const Step& step) {
   if (this->recovery) return;
   this->recovery = Recovery{this->last_progress, step.now, step.now};
 }
 
 // ---- Attempts ---------------------------------------------------------------
 
-void AnswerMachine::ResumeSamePlan(Step& step) {
+void AnswerStateMachine::ResumeSamePlan(Step& step) {
   if (!this->NextAttempt(step)) return;
   const Plan same = *this->plan;
   this->StartOn(step, same, true);
   this->checking_connection = true;
 }
 
-void AnswerMachine::Replan(Step& step) {
+void AnswerStateMachine::Replan(Step& step) {
   if (!this->NextAttempt(step)) return;
   this->AskForPlan(step);
 }
 
-bool AnswerMachine::NextAttempt(Step& step) {
+bool AnswerStateMachine::NextAttempt(Step& step) {
   this->NoteFault(step);
   step.actions.push_back(Cancel{this->attempt, *this->plan});
   this->handed_over = this->handed_over || this->attempt_may_have_run;
@@ -303,7 +303,7 @@
   return !spent;
 }
 
-void AnswerMachine::AskForPlan(Step& step) {
+void AnswerStateMachine::AskForPlan(Step& step) {
   this->phase = Phase::kPlanning;
   RequestPlan ask;
   ask.attempt = this->attempt;
@@ -314,7 +314,7 @@
   step.actions.push_back(std::move(ask));
 }
 
-void AnswerMachine::On(Step& step, const PlanReady& ready) {
+void AnswerStateMachine::On(Step& step, const PlanReady& ready) {
   const bool asked =
       this->phase == Phase::kPlanning && ready.attempt == this->attempt;
   if (!asked) return;
@@ -331,7 +331,7 @@
   this->StartOn(step, ready.plan, false);
 }
 
-void AnswerMachine::On(Step& step, const PlanFailed& failure) {
+void AnswerStateMachine::On(Step& step, const PlanFailed& failure) {
   const bool asked =
       this->phase == Phase::kPlanning && failure.attempt == this->attempt;
   if (!asked) return;
@@ -347,7 +347,7 @@
 // answer under way, a cover often comes back within a second or two (an
 // endpoint restarts or its ejection ends), which costs the caller less than
 // starting over; the wait is bounded.
-void AnswerMachine::AwaitCover(Step& step, std::error_code error) {
+void AnswerStateMachine::AwaitCover(Step& step, std::error_code error) {
   if (this->RanSoFar() == Ran::kNo) {
     this->End(step, Fail{Ran::kNo, error});
     return;
@@ -362,7 +362,7 @@
   this->Arm(step, this->progress_deadline);
 }
 
-void AnswerMachine::StartOn(Step& step, const Plan& next_plan, bool fresh) {
+void AnswerStateMachine::StartOn(Step& step, const Plan& next_plan, bool fresh) {
   StartAttempt start;
   start.attempt = this->attempt;
   start.plan = next_plan;
@@ -385,7 +385,7 @@
 
 // A stage that was avoided but not found dead still has the KV cache of the
 // tokens so far; its successor can start from the copy in place of a prefill.
-std::vector<KvImport> AnswerMachine::Imports(const Plan& next_plan) const {
+std::vector<KvImport> AnswerStateMachine::Imports(const Plan& next_plan) const {
   std::vector<KvImport> imports;
   if (!this->plan) return imports;
   for (const Stage& to : next_plan.stages) {
@@ -403,14 +403,14 @@
 
 // The timer is moved only when it would fire too late. Tokens mostly push the
 // deadline out, so an answer costs a timer call a few times, not at each token.
-void AnswerMachine::Arm(Step& step, TimePoint at) {
+void AnswerStateMachine::Arm(Step& step, TimePoint at) {
   const TimePoint wanted = std::min(at, this->request.deadline);
   if (this->armed && *this->armed <= wanted) return;
   this->armed = wanted;
   step.actions.push_back(ArmTimer{wanted});
 }
 
-void AnswerMachine::On(Step& step, const TimerFired& /*timer*/) {
+void AnswerStateMachine::On(Step& step, const TimerFired& /*timer*/) {
   this->armed.reset();
   if (step.now >= this->request.deadline) {
     this->GiveUp(step, Error::kDeadlinePassed);
@@ -435,18 +435,18 @@
   this->Arm(step, this->request.deadline);
 }
 
-void AnswerMachine::On(Step& step, const CallerLeft& /*leaving*/) {
+void AnswerStateMachine::On(Step& step, const CallerDisconnected& /*leaving*/) {
   this->GiveUp(step, Error::kCallerLeft);
 }
 
-void AnswerMachine::GiveUp(Step& step, std::error_code error) {
+void AnswerStateMachine::GiveUp(Step& step, std::error_code error) {
   if (this->phase == Phase::kRunning) {
     step.actions.push_back(Cancel{this->attempt, *this->plan});
   }
   this->End(step, Fail{this->RanSoFar(), error});
 }
 
-void AnswerMachine::End(Step& step, const Action& last) {
+void AnswerStateMachine::End(Step& step, const Action& last) {
   this->phase = Phase::kDone;
   step.actions.push_back(last);
 }
--- a/lib/platform/once_journal.cc
+++ b/lib/platform/once_journal.cc
@@ -51,7 +51,7 @@
   if (!millis.has_value()) {
     // No instance ever accepts such a key, so "not run" is true (I3).
     auto refuse = [done = std::move(done)] {
-      done(once::Refused{once::OnceError::kKeyMalformed, once::Ran::kNo});
+      done(once::Refused{once::IdempotencyError::kKeyMalformed, once::Ran::kNo});
     };
     this->loop.Post(std::move(refuse));
     return claim;
@@ -68,7 +68,7 @@
 void OnceJournal::Conclude(const OnceRequest& request, const std::string& claim,
                            once::KeyState state, once::Outcome outcome) {
   const std::string key = JournalKey(request);
-  this->ShardOf(key).Conclude(
+  this->ShardOf(key).RecordOutcome(
       once::Entry{key, claim, "", state, std::move(outcome)}, this->loop.Now());
   this->Pump();
 }
--- a/unittests/once/shard_test.cc
+++ b/unittests/once/shard_test.cc
@@ -96,7 +96,7 @@
     RC_ASSERT(this->runs[key] <= 1);
     // kClaimed stands for a death between the send and the record.
     if (how == KeyState::kClaimed) return;
-    router.shard.Conclude(
+    router.shard.RecordOutcome(
         Entry{key, claim, "", how, Outcome{200, "text/plain", claim, true}},
         this->now);
   }
@@ -264,7 +264,7 @@
   world.Settle();
   const Verdict verdict = VerdictOf(world, old);
   BOOST_REQUIRE(std::holds_alternative<Refused>(verdict));
-  BOOST_TEST((std::get<Refused>(verdict).reason == OnceError::kKeyTooOld));
+  BOOST_TEST((std::get<Refused>(verdict).reason == IdempotencyError::kKeyTooOld));
 }
 
 // A replaced router reads the journal from a lagging replica: the copy of a
--- a/unittests/pipeline/answer_machine_test.cc
+++ b/unittests/pipeline/answer_state_machine_test.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/pipeline/answer_machine.h"
+#include "toucanwharf/pipeline/answer_state_machine.h"
 
 #include <rapidcheck/boost_test.h>
 
@@ -74,7 +74,7 @@
   }
 
   ManualClock clock;
-  AnswerMachine machine{SomeRequest()};
+  AnswerStateMachine machine{SomeRequest()};
 };
 
 constexpr Duration kLongSilence = std::chrono::seconds(1);
@@ -95,7 +95,7 @@
   BOOST_TEST(start.first_index == 2u);
   BOOST_TEST((start.tokens == std::vector<std::string>{"t0", "t1"}));
   BOOST_TEST(start.imports.empty());  // The only copy died with the stage.
-  BOOST_TEST(Of<Emit>(run.Send(GoodToken(1, 2))).size() == 1u);
+  BOOST_TEST(Of<EmitToken>(run.Send(GoodToken(1, 2))).size() == 1u);
 }
 
 // Something between router and engine forgets an open connection; the engine
@@ -113,7 +113,7 @@
   BOOST_TEST((Of<SuspectConnection>(next) ==
               std::vector<SuspectConnection>{SuspectConnection{"a"}}));
   BOOST_TEST(Of<SuspectEndpoint>(next).empty());
-  BOOST_TEST(Of<Recovered>(next).size() == 1u);
+  BOOST_TEST(Of<RecordRecovery>(next).size() == 1u);
 }
 
 // The second stage's process is frozen: connections stay open, nothing comes.
@@ -122,8 +122,8 @@
 BOOST_AUTO_TEST_CASE(FrozenStageIsNamedByItsProbe) {
   Running run;
   run.After(kLongSilence);
-  BOOST_TEST(run.Send(ProbeAnswered{1, "a", true}).empty());
-  const Actions dead = run.Send(ProbeAnswered{1, "b", false});
+  BOOST_TEST(run.Send(ProbeCompleted{1, "a", true}).empty());
+  const Actions dead = run.Send(ProbeCompleted{1, "b", false});
   BOOST_TEST(Of<SuspectEndpoint>(dead).size() == 1u);
   BOOST_TEST(Of<RequestPlan>(dead).at(0).excluded.contains("b"));
   BOOST_TEST(Of<RequestPlan>(dead).at(0).attempt == 2u);
@@ -135,8 +135,8 @@
 BOOST_AUTO_TEST_CASE(FaultBetweenStagesAvoidsThePlanAndImportsItsCache) {
   Running run;
   run.After(kLongSilence);
-  run.Send(ProbeAnswered{1, "a", true});
-  run.Send(ProbeAnswered{1, "b", true});
+  run.Send(ProbeCompleted{1, "a", true});
+  run.Send(ProbeCompleted{1, "b", true});
   const Actions moved = run.After(std::chrono::seconds(3));
   BOOST_TEST(Of<SuspectEndpoint>(moved).empty());
   const auto ask = Of<RequestPlan>(moved).at(0);
@@ -163,7 +163,7 @@
 // Every engine that could serve a new request refuses it: the caller is told
 // at once that it did not run, and that is true.
 BOOST_AUTO_TEST_CASE(RefusedEverywhereIsToldAtOnceAsNotRun) {
-  AnswerMachine machine(SomeRequest());
+  AnswerStateMachine machine(SomeRequest());
   machine.Start({});
   machine.Handle({}, PlanReady{0, SomePlan("a", "b")});
   const Actions refused = machine.Handle({}, AttemptRefused{0, {}});
@@ -178,7 +178,7 @@
 // An attempt went silent and a later one was refused. The first may have run,
 // so "not run" would be false (I3).
 BOOST_AUTO_TEST_CASE(ARefusalDoesNotUndoAnEarlierAttempt) {
-  AnswerMachine machine(SomeRequest());
+  AnswerStateMachine machine(SomeRequest());
   machine.Start({});
   machine.Handle({}, PlanReady{0, SomePlan("a", "b")});
   const TimePoint later{std::chrono::seconds(5)};
@@ -207,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(SlowPlanIsLeftOnce) {
   AnswerRequest request = SomeRequest();
   request.max_tokens = 200;
-  AnswerMachine machine(request);
+  AnswerStateMachine machine(request);
   ManualClock clock;
   machine.Start(clock.Now());
   machine.Handle(clock.Now(), PlanReady{0, SomePlan("a", "b")});
@@ -231,7 +231,7 @@
 
 BOOST_AUTO_TEST_CASE(CallerWhoLeavesCancelsTheWork) {
   Running run;
-  const Actions left = run.Send(CallerLeft{});
+  const Actions left = run.Send(CallerDisconnected{});
   BOOST_TEST(Of<Cancel>(left).size() == 1u);
   BOOST_TEST((Of<Fail>(left).at(0).ran == Ran::kPartly));
   BOOST_TEST(run.machine.Done());
--- a/unittests/pipeline/interleavings_test.cc
+++ b/unittests/pipeline/interleavings_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "toucanwharf/pipeline/answer_machine.h"
+#include "toucanwharf/pipeline/answer_state_machine.h"
 #include "toucanwharf/pipeline/error.h"
 
 namespace toucanwharf::pipeline {
@@ -102,7 +102,7 @@
         return this->Send(TimerFired{});
       case Step::kProbeDead:
       case Step::kProbeAlive:
-        return this->Send(ProbeAnswered{pick % 8,
+        return this->Send(ProbeCompleted{pick % 8,
                                         "e" + std::to_string(pick % 9),
                                         step == Step::kProbeAlive});
       case Step::kNoCover:
@@ -198,7 +198,7 @@
   }
 
   // I2: each token once, in order, the caller's own.
-  void Check(const Emit& token) {
+  void Check(const EmitToken& token) {
     RC_ASSERT(token.index == this->Next());
     RC_ASSERT(token.text == Right(token.index));
     this->answer.push_back(token.text);
@@ -233,7 +233,7 @@
 
   std::uint32_t answer_tokens;
   TimePoint now;
-  AnswerMachine machine;
+  AnswerStateMachine machine;
   std::vector<std::string> answer;
   std::optional<std::uint32_t> asked;
   std::optional<TimePoint> armed;
