--- a/include/toucanwharf/daemon/admin_api.h
+++ b/include/toucanwharf/daemon/admin_api.h
@@ -10,7 +10,7 @@
 namespace toucanwharf::daemon {
 
 /// What operators can ask of one router.
-struct AdminPorts {
+struct AdminCallbacks {
   /// Returns `GET /admin/status` as JSON.
   std::function<std::string()> status;
   /// Returns `GET /admin/timeline` as JSON, events after a sequence number.
@@ -23,7 +23,7 @@
 /// Thread safety: none; for the loop's thread.
 class AdminApi {
  public:
-  AdminApi(std::string admin_key, AdminPorts ports);
+  AdminApi(std::string admin_key, AdminCallbacks ports);
 
   /// Serves one request. Precondition: the exchange has no answer yet.
   void Serve(const std::shared_ptr<transport::Exchange>& exchange);
@@ -32,7 +32,7 @@
   bool IsAllowed(const transport::HttpRequest& request) const;
 
   std::string key_hash;
-  AdminPorts ports;
+  AdminCallbacks ports;
 };
 
 }  // namespace toucanwharf::daemon
--- a/include/toucanwharf/daemon/answer_gate.h
+++ b/include/toucanwharf/daemon/answer_admission.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_DAEMON_ANSWER_GATE_H_
-#define TOUCANWHARF_DAEMON_ANSWER_GATE_H_
+#ifndef TOUCANWHARF_DAEMON_ANSWER_ADMISSION_H_
+#define TOUCANWHARF_DAEMON_ANSWER_ADMISSION_H_
 
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
 namespace toucanwharf::daemon {
 
 /// What becomes of an answer that was offered; one of the two is called, once.
-struct GateHandlers {
+struct AdmissionHandlers {
   std::function<void(const pipeline::Plan&)> on_plan;
   std::function<void(const admission::Refusal&)> on_refuse;
 };
@@ -28,13 +28,13 @@
 /// Lets answers in: one admission gate for the engines of each model version,
 /// and the planner behind it.
 /// Thread safety: none; for the loop's thread.
-class AnswerGate {
+class AnswerAdmission {
  public:
   /// Precondition: all references outlive the gate.
-  AnswerGate(transport::EventLoop& loop, Directory& directory, Metrics& metrics,
+  AnswerAdmission(transport::EventLoop& loop, Directory& directory, Metrics& metrics,
              std::uint64_t seed);
-  AnswerGate(const AnswerGate&) = delete;
-  AnswerGate& operator=(const AnswerGate&) = delete;
+  AnswerAdmission(const AnswerAdmission&) = delete;
+  AnswerAdmission& operator=(const AnswerAdmission&) = delete;
 
   /// Follows the directory's engines and refuses what waits too long.
   /// Precondition: called once, before the directory starts.
@@ -43,7 +43,7 @@
   /// Offers \p request of \p customer. A handler may be called before this
   /// returns. Precondition: the id is not known to the gate.
   void Offer(const pipeline::AnswerRequest& request,
-             const std::string& customer, GateHandlers handlers);
+             const std::string& customer, AdmissionHandlers handlers);
 
   /// Returns a plan for an answer that is under way and lost its stages. It
   /// doesn't wait for its turn again, and takes also an engine that is full:
@@ -51,17 +51,17 @@
   Result<pipeline::Plan> Replan(const pipeline::PlanQuery& query);
 
   /// Notes that answer \p id goes on with \p plan.
-  void Moved(const std::string& id, const pipeline::Plan& plan);
+  void RecordPlan(const std::string& id, const pipeline::Plan& plan);
 
   /// Notes that \p endpoint refused an attempt of answer \p id.
-  void EndpointFull(const std::string& id, const std::string& endpoint);
+  void RecordEndpointRefusal(const std::string& id, const std::string& endpoint);
 
   /// Notes a failure that speaks against \p endpoint.
-  void EndpointFailed(const std::string& id, const std::string& endpoint);
+  void RecordEndpointFailure(const std::string& id, const std::string& endpoint);
 
   /// Notes the end of answer \p id after \p tokens; without effect when it is
   /// unknown.
-  void Finished(const std::string& id, bool whole, std::uint32_t tokens);
+  void RecordEnd(const std::string& id, bool whole, std::uint32_t tokens);
 
   /// Drops answer \p id if it still waits; its handlers are not called.
   /// Returns whether it waited.
@@ -80,7 +80,7 @@
     PoolKey pool;
     pipeline::AnswerRequest request;
     std::string customer;
-    GateHandlers handlers;
+    AdmissionHandlers handlers;
     bool waiting = true;
     std::optional<pipeline::Plan> plan;
   };
@@ -106,4 +106,4 @@
 
 }  // namespace toucanwharf::daemon
 
-#endif  // TOUCANWHARF_DAEMON_ANSWER_GATE_H_
+#endif  // TOUCANWHARF_DAEMON_ANSWER_ADMISSION_H_
--- a/include/toucanwharf/daemon/answer_runner.h
+++ b/include/toucanwharf/daemon/answer_runner.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "toucanwharf/daemon/answer_gate.h"
+#include "toucanwharf/daemon/answer_admission.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/pipeline/answer.h"
 #include "toucanwharf/pipeline/answer_machine.h"
@@ -47,7 +47,7 @@
  public:
   /// Precondition: all references outlive the runner.
   AnswerRunner(transport::EventLoop& loop, transport::HttpClient& client,
-               AnswerGate& gate, Metrics& metrics, timeline::Buffer& events);
+               AnswerAdmission& gate, Metrics& metrics, timeline::Buffer& events);
   ~AnswerRunner();
   AnswerRunner(const AnswerRunner&) = delete;
   AnswerRunner& operator=(const AnswerRunner&) = delete;
@@ -94,7 +94,7 @@
 
   transport::EventLoop& loop;
   transport::HttpClient& client;
-  AnswerGate& gate;
+  AnswerAdmission& gate;
   Metrics& metrics;
   timeline::Buffer& events;
   std::map<std::string, Run> running;
--- a/include/toucanwharf/daemon/answer_sessions.h
+++ b/include/toucanwharf/daemon/answer_sessions.h
@@ -73,7 +73,7 @@
                           std::uint32_t from);
 
   /// Returns whether the answer \p id is kept here, whoever's it is.
-  bool Keeps(const std::string& id) const { return this->log.Contains(id); }
+  bool Contains(const std::string& id) const { return this->log.Contains(id); }
 
   /// Returns the number of answers under way.
   std::size_t Running() const { return this->sessions.size(); }
--- a/include/toucanwharf/daemon/caller_api.h
+++ b/include/toucanwharf/daemon/caller_api.h
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "toucanwharf/daemon/answer_sessions.h"
-#include "toucanwharf/daemon/entries.h"
+#include "toucanwharf/daemon/entry_advice_provider.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/daemon/service_runner.h"
 #include "toucanwharf/platform/config_service.h"
@@ -26,7 +26,7 @@
   /// Precondition: all references outlive the object.
   CallerApi(transport::EventLoop& loop, const settings::Settings& settings,
             const platform::ConfigService& config, AnswerSessions& sessions,
-            ServiceRunner& services, Entries& entries, Metrics& metrics);
+            ServiceRunner& services, EntryAdviceProvider& entries, Metrics& metrics);
 
   /// Reads an answer that another instance runs, if it can be found.
   /// Returns false, and leaves the exchange alone, if not.
@@ -35,7 +35,7 @@
       const std::shared_ptr<transport::Exchange>& exchange)>;
 
   /// Sets what is tried for answers that are not kept here.
-  void OnForeignAnswer(ResumeElsewhere resume) {
+  void SetResumeElsewhere(ResumeElsewhere resume) {
     this->resume_elsewhere = std::move(resume);
   }
 
@@ -67,7 +67,7 @@
   const platform::ConfigService& config;
   AnswerSessions& sessions;
   ServiceRunner& services;
-  Entries& entries;
+  EntryAdviceProvider& entries;
   Metrics& metrics;
   ResumeElsewhere resume_elsewhere;
 };
--- a/include/toucanwharf/daemon/directory.h
+++ b/include/toucanwharf/daemon/directory.h
@@ -58,7 +58,7 @@
 };
 
 /// What follows the engines, besides the plans: admission.
-struct EngineWatchers {
+struct EngineObservers {
   /// A status came: what the engine holds, and how many answers it runs at
   /// once.
   std::function<void(const pipeline::EndpointView&, std::uint32_t slots)>
@@ -96,13 +96,13 @@
   const pipeline::PlanIndex& Engines() const { return this->engines; }
 
   /// Returns the instances of \p role, live and leaving, by id.
-  std::vector<Instance> Of(Role role) const;
+  std::vector<Instance> InstancesWithRole(Role role) const;
 
   /// Returns the live instances of the plain service \p name, by id.
   std::vector<Instance> ServiceInstances(const std::string& name) const;
 
   /// Sets who is told about the engines. Precondition: before Start().
-  void Watch(EngineWatchers new_watchers) {
+  void SetObservers(EngineObservers new_watchers) {
     this->watchers = std::move(new_watchers);
   }
 
@@ -122,7 +122,7 @@
   std::map<std::string, Instance> instances;
   std::map<std::string, pipeline::EndpointView> views;
   pipeline::PlanIndex engines;
-  EngineWatchers watchers;
+  EngineObservers watchers;
   std::uint64_t polls = 0;
 };
 
--- a/include/toucanwharf/daemon/engine_protocol.h
+++ b/include/toucanwharf/daemon/engine_protocol.h
@@ -25,7 +25,7 @@
 
 /// Returns whether an engine's refusal says that nothing ran.
 /// Thread safety: safe.
-bool SaysNotRun(std::string_view body);
+bool ReportsNotRun(std::string_view body);
 
 }  // namespace toucanwharf::daemon
 
--- a/include/toucanwharf/daemon/entries.h
+++ b/include/toucanwharf/daemon/entry_advice_provider.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_DAEMON_ENTRIES_H_
-#define TOUCANWHARF_DAEMON_ENTRIES_H_
+#ifndef TOUCANWHARF_DAEMON_ENTRY_ADVICE_PROVIDER_H_
+#define TOUCANWHARF_DAEMON_ENTRY_ADVICE_PROVIDER_H_
 
 #include <cstdint>
 #include <functional>
@@ -17,10 +17,10 @@
 
 /// Answers `GET /v1/entries`: which addresses a caller should use.
 /// Thread safety: none; for the loop's thread.
-class Entries {
+class EntryAdviceProvider {
  public:
   /// Precondition: all references outlive the object.
-  Entries(const Directory& directory, const settings::Settings& settings,
+  EntryAdviceProvider(const Directory& directory, const settings::Settings& settings,
           std::uint64_t seed);
 
   /// Returns the advice for \p customer as JSON.
@@ -28,7 +28,7 @@
 
   /// Sets who tells which routers left or died, before the platform's list
   /// does: callers must not be sent to them (I5).
-  void SetGone(std::function<bool(const std::string& id)> source) {
+  void SetDepartedSource(std::function<bool(const std::string& id)> source) {
     this->is_gone = std::move(source);
   }
 
@@ -61,4 +61,4 @@
 
 }  // namespace toucanwharf::daemon
 
-#endif  // TOUCANWHARF_DAEMON_ENTRIES_H_
+#endif  // TOUCANWHARF_DAEMON_ENTRY_ADVICE_PROVIDER_H_
--- a/include/toucanwharf/daemon/fleet_sync.h
+++ b/include/toucanwharf/daemon/fleet_sync.h
@@ -18,7 +18,7 @@
 namespace toucanwharf::daemon {
 
 /// How the fleet reads and brings forward the configuration of this router.
-struct ConfigPorts {
+struct ConfigCallbacks {
   /// Returns the generation in force.
   std::function<std::uint64_t()> generation;
   /// Returns what a peer at a generation lacks, or nothing.
@@ -28,7 +28,7 @@
 };
 
 /// Sends an answer of this router to another one; see peers::Handlers::answer.
-using AnswerPort =
+using AnswerSender =
     std::function<void(const std::string& request, std::uint64_t from,
                        const std::string& customer, peers::AnswerSink)>;
 
@@ -43,22 +43,22 @@
  public:
   /// Precondition: all references outlive the object.
   FleetSync(transport::EventLoop& loop, const settings::Settings& settings,
-            const Directory& directory, Metrics& metrics, ConfigPorts config,
-            AnswerPort answers, std::uint64_t seed);
+            const Directory& directory, Metrics& metrics, ConfigCallbacks config,
+            AnswerSender answers, std::uint64_t seed);
 
   /// Listens for peers and begins to talk. Precondition: called once.
   Result<void> Start();
   /// Tells the others that this router drains (I5).
-  void Leave() { this->peers.Leave(); }
+  void AnnounceDrain() { this->peers.Leave(); }
   /// Returns whether the router \p id must be in no advice any more.
-  bool IsGone(const std::string& id) const { return this->peers.IsGone(id); }
+  bool IsDeparted(const std::string& id) const { return this->peers.IsGone(id); }
   /// Returns where peers reach the router that made the request id \p id, if
   /// it is another one and not known to be dead.
   std::optional<std::string> OriginOf(const std::string& id) const;
   /// Returns the client for calls to other routers.
   peers::PeerClient& Client() { return this->peers.Client(); }
   /// Returns the ids of the routers not known to be dead, this one included.
-  std::vector<std::string> Present() const;
+  std::vector<std::string> LiveRouters() const;
 
  private:
   void Tick();
@@ -69,7 +69,7 @@
   const settings::Settings& settings;
   const Directory& directory;
   Metrics& metrics;
-  ConfigPorts config;
+  ConfigCallbacks config;
   Random random;
   bool fetching = false;
   exchange::PeerExchange peers;
--- a/include/toucanwharf/daemon/service_runner.h
+++ b/include/toucanwharf/daemon/service_runner.h
@@ -12,7 +12,7 @@
 #include "toucanwharf/daemon/directory.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/daemon/refusal.h"
-#include "toucanwharf/platform/once_journal.h"
+#include "toucanwharf/platform/idempotency_journal.h"
 #include "toucanwharf/records/records.h"
 #include "toucanwharf/support/random.h"
 #include "toucanwharf/transport/http_client.h"
@@ -67,7 +67,7 @@
 
   /// Precondition: all references outlive the runner.
   ServiceRunner(transport::HttpClient& client, Directory& directory,
-                platform::OnceJournal& journal, Metrics& metrics,
+                platform::IdempotencyJournal& journal, Metrics& metrics,
                 std::uint64_t seed);
 
   /// Begins a call; \p done comes once.
@@ -89,7 +89,7 @@
 
   transport::HttpClient& client;
   Directory& directory;
-  platform::OnceJournal& journal;
+  platform::IdempotencyJournal& journal;
   Metrics& metrics;
   Random random;
   std::size_t calls_running = 0;
--- a/include/toucanwharf/platform/client.h
+++ b/include/toucanwharf/platform/client.h
@@ -16,7 +16,7 @@
 /// machines that work on it.
 namespace toucanwharf::platform {
 
-enum class WatchStatus { kEvents, kGone, kUnknown };
+enum class WatchStatus { kEvents, kRevisionExpired, kUnknown };
 
 /// Answer of a watch.
 struct WatchAnswer {
--- a/include/toucanwharf/platform/config_service.h
+++ b/include/toucanwharf/platform/config_service.h
@@ -51,9 +51,9 @@
   bool OnPeerUpdate(const std::string& text);
 
   /// Returns whether this instance holds the lease now.
-  bool Holds() const { return this->lease.MayAct(this->loop.Now()); }
+  bool HoldsLease() const { return this->lease.MayAct(this->loop.Now()); }
   /// Gives the lease back; for a planned stop.
-  void Leave() { this->lease.Release(); }
+  void ReleaseLease() { this->lease.Release(); }
 
  private:
   void FollowHead();
--- a/include/toucanwharf/platform/once_journal.h
+++ b/include/toucanwharf/platform/idempotency_journal.h
@@ -1,5 +1,5 @@
-#ifndef TOUCANWHARF_PLATFORM_ONCE_JOURNAL_H_
-#define TOUCANWHARF_PLATFORM_ONCE_JOURNAL_H_
+#ifndef TOUCANWHARF_PLATFORM_IDEMPOTENCY_JOURNAL_H_
+#define TOUCANWHARF_PLATFORM_IDEMPOTENCY_JOURNAL_H_
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 namespace toucanwharf::platform {
 
 /// A non-idempotent request, as the journal knows it.
-struct OnceRequest {
+struct IdempotentRequest {
   std::string customer;
   std::string service;
   /// The caller's idempotency key, a UUID version 7.
@@ -21,30 +21,30 @@
   /// What must be the same in a repeat: method, target and body.
   std::string content;
   /// The caller gets a verdict by then.
-  Duration patience{std::chrono::seconds(3)};
+  Duration verdict_timeout{std::chrono::seconds(3)};
 
-  friend bool operator==(const OnceRequest&, const OnceRequest&) = default;
+  friend bool operator==(const IdempotentRequest&, const IdempotentRequest&) = default;
 };
 
 /// The journal of idempotency keys over the platform (I4). Claims made through
 /// any instance exclude each other.
 /// Thread safety: none; for the loop's thread.
-class OnceJournal {
+class IdempotencyJournal {
  public:
   using Done = std::function<void(once::Verdict)>;
 
   /// \p incarnation is unique to this process. Precondition: the references
   /// outlive the journal.
-  OnceJournal(transport::EventLoop& loop, Client& client,
+  IdempotencyJournal(transport::EventLoop& loop, Client& client,
               const std::string& incarnation);
 
   /// Asks for the request's key; \p done gets the verdict, later. Returns the
   /// claim's id, for Conclude.
-  std::string Claim(const OnceRequest& request, Done done);
+  std::string Claim(const IdempotentRequest& request, Done done);
 
   /// Records how a granted claim ended. Precondition: called exactly once for
   /// each claim that was granted; \p state isn't kClaimed.
-  void Conclude(const OnceRequest& request, const std::string& claim,
+  void Conclude(const IdempotentRequest& request, const std::string& claim,
                 once::KeyState state, once::Outcome outcome);
 
   /// Returns whether no claim waits and every outcome is recorded.
@@ -66,4 +66,4 @@
 
 }  // namespace toucanwharf::platform
 
-#endif  // TOUCANWHARF_PLATFORM_ONCE_JOURNAL_H_
+#endif  // TOUCANWHARF_PLATFORM_IDEMPOTENCY_JOURNAL_H_
--- a/include/toucanwharf/platform/record_inspector.h
+++ b/include/toucanwharf/platform/record_inspector.h
@@ -14,7 +14,7 @@
 /// Inspects records by the schemas that this build reads. It remembers what it
 /// parsed: a review looks at every accepted record for each new one.
 /// Thread safety: none; for one thread.
-class RecordSchemas {
+class SchemaRecordInspector {
  public:
   /// Returns the schema of record \p name and what is wrong with it, alone and
   /// among \p records. Precondition: \p records hold \p name.
@@ -31,7 +31,7 @@
   mutable std::map<std::string, std::optional<records::Record>> parsed;
 };
 
-static_assert(control::RecordInspector<RecordSchemas>);
+static_assert(control::RecordInspector<SchemaRecordInspector>);
 
 /// Returns the typed catalog of \p config. A record that this build can't read
 /// is left out.
--- a/lib/daemon/admin_api.cc
+++ b/lib/daemon/admin_api.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-AdminApi::AdminApi(std::string admin_key, AdminPorts ports)
+AdminApi::AdminApi(std::string admin_key, AdminCallbacks ports)
     : key_hash(Sha256Hex(kBearer + admin_key)), ports(std::move(ports)) {}
 
 void AdminApi::Serve(const std::shared_ptr<transport::Exchange>& exchange) {
--- a/lib/daemon/answer_gate.cc
+++ b/lib/daemon/answer_admission.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/daemon/answer_gate.h"
+#include "toucanwharf/daemon/answer_admission.h"
 
 #include <algorithm>
 #include <cassert>
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-AnswerGate::AnswerGate(transport::EventLoop& loop, Directory& directory,
+AnswerAdmission::AnswerAdmission(transport::EventLoop& loop, Directory& directory,
                        Metrics& metrics, std::uint64_t seed)
     : loop(loop),
       directory(directory),
@@ -82,8 +82,8 @@
       seed(seed),
       random(seed) {}
 
-void AnswerGate::Start() {
-  EngineWatchers watchers;
+void AnswerAdmission::Start() {
+  EngineObservers watchers;
   watchers.on_status = [this](const pipeline::EndpointView& view,
                               std::uint32_t slots) {
     this->TakeStatus(view, slots);
@@ -92,12 +92,12 @@
     this->TakeLoad(id, load);
   };
   watchers.on_gone = [this](const std::string& id) { this->TakeGone(id); };
-  this->directory.Watch(std::move(watchers));
+  this->directory.SetObservers(std::move(watchers));
   this->Tick();
 }
 
-void AnswerGate::Offer(const pipeline::AnswerRequest& request,
-                       const std::string& customer, GateHandlers handlers) {
+void AnswerAdmission::Offer(const pipeline::AnswerRequest& request,
+                       const std::string& customer, AdmissionHandlers handlers) {
   assert(!this->offers.contains(request.id) && "ids are unique");
   const PoolKey key{request.model.model, request.model.version};
   admission::Request offered;
@@ -120,7 +120,7 @@
   this->Pump(key);
 }
 
-Result<pipeline::Plan> AnswerGate::Replan(const pipeline::PlanQuery& query) {
+Result<pipeline::Plan> AnswerAdmission::Replan(const pipeline::PlanQuery& query) {
   Pool& pool = this->PoolOf({query.model.model, query.model.version});
   CorrectedWait score;
   score.gate = &pool.gate;
@@ -134,7 +134,7 @@
   return this->directory.Engines().Choose(query, this->random);
 }
 
-void AnswerGate::Moved(const std::string& id, const pipeline::Plan& plan) {
+void AnswerAdmission::RecordPlan(const std::string& id, const pipeline::Plan& plan) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end() || held->second.waiting) return;
   if (held->second.plan == plan) return;
@@ -143,7 +143,7 @@
   gate.Moved(this->loop.Now(), id, StagesOf(gate.Names(), plan));
 }
 
-void AnswerGate::EndpointFull(const std::string& id,
+void AnswerAdmission::RecordEndpointRefusal(const std::string& id,
                               const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
@@ -151,7 +151,7 @@
   gate.EndpointFull(gate.Names().NumberOf(endpoint));
 }
 
-void AnswerGate::EndpointFailed(const std::string& id,
+void AnswerAdmission::RecordEndpointFailure(const std::string& id,
                                 const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
@@ -161,7 +161,7 @@
   if (ejected) this->metrics.Count("toucanwharf_ejections_total");
 }
 
-void AnswerGate::Finished(const std::string& id, bool whole,
+void AnswerAdmission::RecordEnd(const std::string& id, bool whole,
                           std::uint32_t tokens) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
@@ -173,7 +173,7 @@
   this->Pump(key);
 }
 
-bool AnswerGate::Cancel(const std::string& id) {
+bool AnswerAdmission::Cancel(const std::string& id) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end() || !held->second.waiting) return false;
   this->PoolOf(held->second.pool).gate.Cancel(this->loop.Now(), id);
@@ -181,7 +181,7 @@
   return true;
 }
 
-double AnswerGate::TrafficShareOf(const std::string& customer) {
+double AnswerAdmission::TrafficShareOf(const std::string& customer) {
   double own = 0;
   double all = 0;
   for (auto& [key, pool] : this->pools) {
@@ -194,20 +194,20 @@
   return all > 0 ? own / all : 0;
 }
 
-AnswerGate::Pool& AnswerGate::PoolOf(const PoolKey& key) {
+AnswerAdmission::Pool& AnswerAdmission::PoolOf(const PoolKey& key) {
   const auto found = this->pools.find(key);
   if (found != this->pools.end()) return found->second;
   const std::uint64_t pool_seed = this->seed + this->pools.size() + 1;
   return this->pools.try_emplace(key, pool_seed).first->second;
 }
 
-AnswerGate::Pool* AnswerGate::PoolWith(const std::string& endpoint) {
+AnswerAdmission::Pool* AnswerAdmission::PoolWith(const std::string& endpoint) {
   const auto key = this->pool_of_engine.find(endpoint);
   if (key == this->pool_of_engine.end()) return nullptr;
   return &this->PoolOf(key->second);
 }
 
-void AnswerGate::TakeStatus(const pipeline::EndpointView& view,
+void AnswerAdmission::TakeStatus(const pipeline::EndpointView& view,
                             std::uint32_t slots) {
   const PoolKey key{view.model, view.version};
   const auto before = this->pool_of_engine.find(view.id);
@@ -225,7 +225,7 @@
   this->Pump(key);
 }
 
-void AnswerGate::TakeLoad(const std::string& id, const EngineLoad& load) {
+void AnswerAdmission::TakeLoad(const std::string& id, const EngineLoad& load) {
   Pool* pool = this->PoolWith(id);
   if (pool == nullptr) return;
   routing::LoadReport report;
@@ -237,14 +237,14 @@
   this->Pump(this->pool_of_engine.at(id));
 }
 
-void AnswerGate::TakeGone(const std::string& id) {
+void AnswerAdmission::TakeGone(const std::string& id) {
   Pool* pool = this->PoolWith(id);
   if (pool == nullptr) return;
   pool->gate.RemoveEndpoint(id);
   this->pool_of_engine.erase(id);
 }
 
-void AnswerGate::Pump(const PoolKey& key) {
+void AnswerAdmission::Pump(const PoolKey& key) {
   admission::Gate& gate = this->PoolOf(key).gate;
   std::optional<pipeline::Plan> plan;
   const auto planner = [&](const admission::Request& wanted,
@@ -266,9 +266,9 @@
   }
 }
 
-void AnswerGate::Tick() {
+void AnswerAdmission::Tick() {
   std::uint32_t routers = 0;
-  for (const Instance& instance : this->directory.Of(Role::kRouter)) {
+  for (const Instance& instance : this->directory.InstancesWithRole(Role::kRouter)) {
     if (!instance.leaving) ++routers;
   }
   for (auto& [key, pool] : this->pools) {
@@ -281,7 +281,7 @@
   this->loop.After(kTickPeriod, [this] { this->Tick(); });
 }
 
-void AnswerGate::Refuse(const admission::Refusal& refusal) {
+void AnswerAdmission::Refuse(const admission::Refusal& refusal) {
   const auto held = this->offers.find(refusal.id);
   const auto on_refuse = held->second.handlers.on_refuse;
   this->offers.erase(held);
--- a/lib/daemon/answer_runner.cc
+++ b/lib/daemon/answer_runner.cc
@@ -27,7 +27,7 @@
 bool IsRefusal(const HttpOutcome& outcome) {
   const bool refused =
       outcome.status == kConflict || outcome.status == kTooManyRequests;
-  return refused && SaysNotRun(outcome.body);
+  return refused && ReportsNotRun(outcome.body);
 }
 
 /// "e1[0,16) e2[16,32) from token 4".
@@ -87,7 +87,7 @@
 };
 
 AnswerRunner::AnswerRunner(transport::EventLoop& loop,
-                           transport::HttpClient& client, AnswerGate& gate,
+                           transport::HttpClient& client, AnswerAdmission& gate,
                            Metrics& metrics, timeline::Buffer& events)
     : loop(loop),
       client(client),
@@ -105,7 +105,7 @@
       std::make_shared<ActiveAnswer>(std::move(job), std::move(handlers), now);
   this->running.emplace(id, run);
   this->metrics.Count("toucanwharf_answers_total");
-  GateHandlers turn;
+  AdmissionHandlers turn;
   turn.on_plan = [this, run](const pipeline::Plan& plan) {
     this->Begin(run, plan);
   };
@@ -215,7 +215,7 @@
   run->parser = transport::EventStreamParser();
   run->stream_attempt = action.attempt;
   run->plan = action.plan;
-  this->gate.Moved(run->job.request.id, action.plan);
+  this->gate.RecordPlan(run->job.request.id, action.plan);
   HttpCall call;
   call.method = "POST";
   call.url = "http://" + action.plan.stages.front().address + "/v1/generate";
@@ -253,7 +253,7 @@
   if (run->closed || run->stream_attempt != attempt) return;
   run->stream = 0;
   if (IsRefusal(outcome) && run->plan) {
-    this->gate.EndpointFull(run->job.request.id,
+    this->gate.RecordEndpointRefusal(run->job.request.id,
                             run->plan->stages.front().endpoint);
   }
   this->Feed(run, EndEvent(attempt, outcome));
@@ -322,7 +322,7 @@
   this->Note(timeline::EventKind::kStageLost, run, action.endpoint,
              "a fresh connection failed too, or its neighbour lost it");
   this->metrics.Count("toucanwharf_suspect_endpoints_total");
-  this->gate.EndpointFailed(run->job.request.id, action.endpoint);
+  this->gate.RecordEndpointFailure(run->job.request.id, action.endpoint);
 }
 
 void AnswerRunner::Perform(const Run& run, const pipeline::ArmTimer& action) {
@@ -352,7 +352,7 @@
              absl::StrCat(action.tokens, " tokens"));
   this->Close(run);
   run->handlers.on_finish(action);
-  this->gate.Finished(run->job.request.id, true, action.tokens);
+  this->gate.RecordEnd(run->job.request.id, true, action.tokens);
 }
 
 void AnswerRunner::Perform(const Run& run, const pipeline::Fail& action) {
@@ -362,7 +362,7 @@
   this->Close(run);
   run->handlers.on_fail(action);
   const auto emitted = static_cast<std::uint32_t>(run->machine.Tokens().size());
-  this->gate.Finished(run->job.request.id, false, emitted);
+  this->gate.RecordEnd(run->job.request.id, false, emitted);
 }
 
 }  // namespace toucanwharf::daemon
--- a/lib/daemon/caller_api.cc
+++ b/lib/daemon/caller_api.cc
@@ -106,7 +106,7 @@
                      const settings::Settings& settings,
                      const platform::ConfigService& config,
                      AnswerSessions& sessions, ServiceRunner& services,
-                     Entries& entries, Metrics& metrics)
+                     EntryAdviceProvider& entries, Metrics& metrics)
     : loop(loop),
       settings(settings),
       config(config),
@@ -319,7 +319,7 @@
     return;
   }
   const bool elsewhere =
-      !this->sessions.Keeps(id) && this->resume_elsewhere &&
+      !this->sessions.Contains(id) && this->resume_elsewhere &&
       this->resume_elsewhere(id, from, customer.name, exchange);
   if (elsewhere) {
     this->metrics.Count("toucanwharf_answers_resumed_elsewhere_total");
--- a/lib/daemon/directory.cc
+++ b/lib/daemon/directory.cc
@@ -145,7 +145,7 @@
   this->PollEngines();
 }
 
-std::vector<Instance> Directory::Of(Role role) const {
+std::vector<Instance> Directory::InstancesWithRole(Role role) const {
   std::vector<Instance> found;
   for (const auto& [id, instance] : this->instances) {
     if (instance.role == role) found.push_back(instance);
--- a/lib/daemon/engine_protocol.cc
+++ b/lib/daemon/engine_protocol.cc
@@ -115,7 +115,7 @@
   return std::move(*token);
 }
 
-bool SaysNotRun(std::string_view body) {
+bool ReportsNotRun(std::string_view body) {
   const Json parsed = Json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (!parsed.is_object()) return false;
   const auto ran = parsed.find("ran");
--- a/lib/daemon/entries.cc
+++ b/lib/daemon/entry_advice_provider.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/daemon/entries.h"
+#include "toucanwharf/daemon/entry_advice_provider.h"
 
 #include <algorithm>
 #include <chrono>
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-Entries::Entries(const Directory& directory, const settings::Settings& settings,
+EntryAdviceProvider::EntryAdviceProvider(const Directory& directory, const settings::Settings& settings,
                  std::uint64_t seed)
     : directory(directory),
       settings(settings),
       advisor(AdviceOf(settings)),
       random(seed) {}
 
-std::string Entries::Advice(const std::string& customer) {
+std::string EntryAdviceProvider::Advice(const std::string& customer) {
   const auto instances = this->Instances();
   const double share =
       this->traffic_share ? this->traffic_share(customer) : 0.0;
@@ -52,9 +52,9 @@
   return Json({{"entries", lines}, {"ttl_s", ttl_s}}).dump() + "\n";
 }
 
-std::vector<routing::EntryInstance> Entries::Instances() const {
+std::vector<routing::EntryInstance> EntryAdviceProvider::Instances() const {
   std::vector<routing::EntryInstance> instances;
-  for (const Instance& listed : this->directory.Of(Role::kRouter)) {
+  for (const Instance& listed : this->directory.InstancesWithRole(Role::kRouter)) {
     if (listed.id == this->settings.instance) continue;
     if (this->is_gone && this->is_gone(listed.id)) continue;
     routing::EntryInstance instance;
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -14,7 +14,7 @@
 constexpr Duration kPeriod = std::chrono::seconds(1);
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
-exchange::Ports PortsOf(const ConfigPorts& config, AnswerPort answers) {
+exchange::Ports PortsOf(const ConfigCallbacks& config, AnswerSender answers) {
   exchange::Ports ports;
   ports.config = config.update_for;
   ports.answer = std::move(answers);
@@ -26,7 +26,7 @@
 FleetSync::FleetSync(transport::EventLoop& loop,
                      const settings::Settings& settings,
                      const Directory& directory, Metrics& metrics,
-                     ConfigPorts config, AnswerPort answers, std::uint64_t seed)
+                     ConfigCallbacks config, AnswerSender answers, std::uint64_t seed)
     : loop(loop),
       settings(settings),
       directory(directory),
@@ -43,7 +43,7 @@
 
 void FleetSync::Tick() {
   std::vector<membership::Seed> seeds;
-  for (const Instance& instance : this->directory.Of(Role::kRouter)) {
+  for (const Instance& instance : this->directory.InstancesWithRole(Role::kRouter)) {
     if (instance.peer_address.empty()) continue;
     seeds.push_back({instance.id, instance.peer_address});
   }
@@ -105,7 +105,7 @@
   return std::nullopt;
 }
 
-std::vector<std::string> FleetSync::Present() const {
+std::vector<std::string> FleetSync::LiveRouters() const {
   std::vector<std::string> ids;
   for (const auto& member : this->peers.Present()) ids.push_back(member.id);
   return ids;
--- a/lib/daemon/router.cc
+++ b/lib/daemon/router.cc
@@ -10,19 +10,19 @@
 #include <utility>
 
 #include "toucanwharf/daemon/admin_api.h"
-#include "toucanwharf/daemon/answer_gate.h"
+#include "toucanwharf/daemon/answer_admission.h"
 #include "toucanwharf/daemon/answer_relay.h"
 #include "toucanwharf/daemon/answer_runner.h"
 #include "toucanwharf/daemon/answer_sessions.h"
 #include "toucanwharf/daemon/caller_api.h"
 #include "toucanwharf/daemon/directory.h"
-#include "toucanwharf/daemon/entries.h"
+#include "toucanwharf/daemon/entry_advice_provider.h"
 #include "toucanwharf/daemon/fleet_sync.h"
 #include "toucanwharf/daemon/metrics.h"
 #include "toucanwharf/daemon/service_runner.h"
 #include "toucanwharf/platform/client.h"
 #include "toucanwharf/platform/config_service.h"
-#include "toucanwharf/platform/once_journal.h"
+#include "toucanwharf/platform/idempotency_journal.h"
 #include "toucanwharf/support/ids.h"
 #include "toucanwharf/support/random.h"
 #include "toucanwharf/timeline/buffer.h"
@@ -63,7 +63,7 @@
                this->incarnation),
         journal(this->loop, this->platform, this->incarnation),
         fleet(this->loop, this->settings, this->directory, this->metrics,
-              this->MakeConfigPorts(), this->MakeAnswerPort(), this->seed),
+              this->MakeConfigCallbacks(), this->MakeAnswerSender(), this->seed),
         gate(this->loop, this->directory, this->metrics, this->seed),
         runner(this->loop, this->client, this->gate, this->metrics,
                this->events),
@@ -74,13 +74,13 @@
         entries(this->directory, this->settings, this->seed),
         callers(this->loop, this->settings, this->config, this->sessions,
                 this->services, this->entries, this->metrics),
-        admin(this->settings.admin_key, this->MakeAdminPorts()) {
-    this->entries.SetGone(
-        [this](const std::string& id) { return this->fleet.IsGone(id); });
+        admin(this->settings.admin_key, this->MakeAdminCallbacks()) {
+    this->entries.SetDepartedSource(
+        [this](const std::string& id) { return this->fleet.IsDeparted(id); });
     this->entries.SetTrafficShare([this](const std::string& customer) {
       return this->gate.TrafficShareOf(customer);
     });
-    this->callers.OnForeignAnswer(
+    this->callers.SetResumeElsewhere(
         [this](const std::string& id, std::uint32_t from,
                const std::string& customer, const SharedExchange& exchange) {
           const auto origin = this->fleet.OriginOf(id);
@@ -91,15 +91,15 @@
         });
   }
 
-  AnswerPort MakeAnswerPort() {
+  AnswerSender MakeAnswerSender() {
     return [this](const std::string& id, std::uint64_t from,
                   const std::string& customer, const peers::AnswerSink& sink) {
       this->relay.Serve(id, static_cast<std::uint32_t>(from), customer, sink);
     };
   }
 
-  ConfigPorts MakeConfigPorts() {
-    ConfigPorts ports;
+  ConfigCallbacks MakeConfigCallbacks() {
+    ConfigCallbacks ports;
     ports.generation = [this] { return this->config.Catalog().generation; };
     ports.update_for = [this](std::uint64_t since) {
       return this->config.UpdateFor(since);
@@ -110,8 +110,8 @@
     return ports;
   }
 
-  AdminPorts MakeAdminPorts() {
-    AdminPorts ports;
+  AdminCallbacks MakeAdminCallbacks() {
+    AdminCallbacks ports;
     ports.status = [this] { return this->Status(); };
     ports.timeline = [this](std::uint64_t after) {
       return timeline::ToJson(this->events.After(after, kTimelinePage));
@@ -125,7 +125,7 @@
   void ConnectConfig() {
     this->config.SetLiveRouters([this] {
       std::vector<std::string> ids;
-      for (const Instance& router : this->directory.Of(Role::kRouter)) {
+      for (const Instance& router : this->directory.InstancesWithRole(Role::kRouter)) {
         ids.push_back(router.id);
       }
       return ids;
@@ -141,9 +141,9 @@
                          {"incarnation", this->incarnation},
                          {"failure_domain", this->settings.failure_domain},
                          {"generation", this->config.Catalog().generation},
-                         {"accepts_records", this->config.Holds()},
+                         {"accepts_records", this->config.HoldsLease()},
                          {"engines", this->directory.Engines().Size()},
-                         {"members", this->fleet.Present()},
+                         {"members", this->fleet.LiveRouters()},
                          {"answers_running", this->runner.Running()},
                          {"service_calls_running", this->services.Running()},
                          {"state", this->drain_began ? "leaving" : "live"}};
@@ -163,8 +163,8 @@
     LOG(INFO) << "drain of " << this->settings.instance << " begins";
     this->Note(timeline::EventKind::kDrainBegan);
     this->entries.Leave();
-    this->fleet.Leave();
-    this->config.Leave();
+    this->fleet.AnnounceDrain();
+    this->config.ReleaseLease();
     this->CheckDrain();
   }
 
@@ -222,14 +222,14 @@
   Directory directory;
   platform::Client platform;
   platform::ConfigService config;
-  platform::OnceJournal journal;
+  platform::IdempotencyJournal journal;
   FleetSync fleet;
-  AnswerGate gate;
+  AnswerAdmission gate;
   AnswerRunner runner;
   AnswerSessions sessions;
   AnswerRelay relay;
   ServiceRunner services;
-  Entries entries;
+  EntryAdviceProvider entries;
   CallerApi callers;
   AdminApi admin;
   std::unique_ptr<transport::HttpServer> caller_server;
--- a/lib/daemon/service_runner.cc
+++ b/lib/daemon/service_runner.cc
@@ -114,14 +114,14 @@
   // Whether an earlier try may have run; then "not run" would be a lie (I3).
   bool may_have_run = false;
   /// What the journal knows the call by, once its key is granted.
-  platform::OnceRequest request;
+  platform::IdempotentRequest request;
   std::string claim;
   bool granted = false;
 };
 
 ServiceRunner::ServiceRunner(transport::HttpClient& client,
                              Directory& directory,
-                             platform::OnceJournal& journal, Metrics& metrics,
+                             platform::IdempotencyJournal& journal, Metrics& metrics,
                              std::uint64_t seed)
     : client(client),
       directory(directory),
@@ -152,7 +152,7 @@
   call->request.service = job.service.name;
   call->request.idempotency_key = job.idempotency_key;
   call->request.content = job.method + " " + job.target + "\n" + job.body;
-  call->request.patience = std::min(kClaimPatience, job.service.timeout);
+  call->request.verdict_timeout = std::min(kClaimPatience, job.service.timeout);
   const auto done = [this, call](once::Verdict verdict) {
     this->TakeVerdict(call, std::move(verdict));
   };
--- a/lib/platform/client.cc
+++ b/lib/platform/client.cc
@@ -61,7 +61,7 @@
   WatchAnswer answer;
   if (outcome.end != CallEnd::kAnswered) return answer;
   if (outcome.status == kGone) {
-    answer.status = WatchStatus::kGone;
+    answer.status = WatchStatus::kRevisionExpired;
     return answer;
   }
   const Json body = Body(outcome);
--- a/lib/platform/config_service.cc
+++ b/lib/platform/config_service.cc
@@ -44,8 +44,8 @@
 }
 
 /// Parses what records look like, once per loop thread.
-RecordSchemas& Schemas() {
-  thread_local RecordSchemas schemas;
+SchemaRecordInspector& Schemas() {
+  thread_local SchemaRecordInspector schemas;
   return schemas;
 }
 
@@ -176,7 +176,7 @@
 
 void ConfigService::Tick() {
   this->TickLease();
-  if (this->Holds()) {
+  if (this->HoldsLease()) {
     this->TickMirror();
     this->TickPublish();
     this->TickStatuses();
@@ -189,9 +189,9 @@
   if (!call.has_value()) return;
   if (const auto* write = std::get_if<store::Write>(&*call)) {
     const auto on_write = [this](const store::WriteAnswer& answer) {
-      const bool held = this->Holds();
+      const bool held = this->HoldsLease();
       this->lease.OnWrite(answer, this->loop.Now());
-      if (held || !this->Holds()) return;
+      if (held || !this->HoldsLease()) return;
       LOG(INFO) << "lease acceptance taken, fencing number "
                 << this->lease.Fence();
     };
@@ -218,7 +218,7 @@
   }
   const auto on_events = [this, call](const WatchAnswer& answer) {
     this->mirror_waits = false;
-    if (answer.status == WatchStatus::kGone) this->records_mirror.OnGone();
+    if (answer.status == WatchStatus::kRevisionExpired) this->records_mirror.OnGone();
     if (answer.status != WatchStatus::kEvents) return;
     this->records_mirror.OnEvents(call.after, answer.reached, answer.events);
   };
@@ -302,7 +302,7 @@
   this->next_statuses = now + kStatusPeriod;
   const auto on_list = [this](const std::optional<store::Listing>& listing) {
     this->statuses_wait = false;
-    if (listing.has_value() && this->Holds()) this->TakeStatuses(*listing);
+    if (listing.has_value() && this->HoldsLease()) this->TakeStatuses(*listing);
   };
   this->client.List("status", on_list);
 }
--- a/lib/platform/once_journal.cc
+++ b/lib/platform/idempotency_journal.cc
@@ -1,4 +1,4 @@
-#include "toucanwharf/platform/once_journal.h"
+#include "toucanwharf/platform/idempotency_journal.h"
 
 #include <chrono>
 #include <utility>
@@ -14,7 +14,7 @@
 /// How often a shard with work is looked at: under the commit gap.
 constexpr Duration kPumpPeriod = std::chrono::milliseconds(5);
 
-std::string JournalKey(const OnceRequest& request) {
+std::string JournalKey(const IdempotentRequest& request) {
   return request.customer + "/" + request.service + "/" +
          request.idempotency_key;
 }
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-OnceJournal::OnceJournal(transport::EventLoop& event_loop,
+IdempotencyJournal::IdempotencyJournal(transport::EventLoop& event_loop,
                          Client& platform_client,
                          const std::string& incarnation)
     : loop(event_loop), client(platform_client) {
@@ -41,11 +41,11 @@
   }
 }
 
-once::Shard& OnceJournal::ShardOf(const std::string& key) {
+once::Shard& IdempotencyJournal::ShardOf(const std::string& key) {
   return this->shards[StableHash(key) % kShards];
 }
 
-std::string OnceJournal::Claim(const OnceRequest& request, Done done) {
+std::string IdempotencyJournal::Claim(const IdempotentRequest& request, Done done) {
   std::string claim = NewId();
   const auto millis = MillisOf(request.idempotency_key);
   if (!millis.has_value()) {
@@ -57,7 +57,7 @@
     return claim;
   }
   const std::string key = JournalKey(request);
-  const TimePoint deadline = this->loop.Now() + request.patience;
+  const TimePoint deadline = this->loop.Now() + request.verdict_timeout;
   this->waiting.emplace(claim, std::move(done));
   this->ShardOf(key).Claim(
       {key, claim, Sha256Hex(request.content), *millis, deadline});
@@ -65,7 +65,7 @@
   return claim;
 }
 
-void OnceJournal::Conclude(const OnceRequest& request, const std::string& claim,
+void IdempotencyJournal::Conclude(const IdempotentRequest& request, const std::string& claim,
                            once::KeyState state, once::Outcome outcome) {
   const std::string key = JournalKey(request);
   this->ShardOf(key).Conclude(
@@ -73,14 +73,14 @@
   this->Pump();
 }
 
-bool OnceJournal::Idle() const {
+bool IdempotencyJournal::Idle() const {
   for (const once::Shard& shard : this->shards) {
     if (!shard.Idle()) return false;
   }
   return true;
 }
 
-void OnceJournal::Pump() {
+void IdempotencyJournal::Pump() {
   for (once::Shard& shard : this->shards) this->PumpShard(shard);
   if (this->timer_set || this->Idle()) return;
   this->timer_set = true;
@@ -91,13 +91,13 @@
   this->loop.After(kPumpPeriod, std::move(again));
 }
 
-void OnceJournal::PumpShard(once::Shard& shard) {
+void IdempotencyJournal::PumpShard(once::Shard& shard) {
   const auto call = shard.Poll(this->loop.Now(), WallMillis());
   this->Deliver(shard);
   if (call.has_value()) this->Carry(shard, *call);
 }
 
-void OnceJournal::Carry(once::Shard& shard, const once::ShardCall& call) {
+void IdempotencyJournal::Carry(once::Shard& shard, const once::ShardCall& call) {
   if (const auto* write = std::get_if<store::Write>(&call)) {
     auto on_write = [this, &shard](const store::WriteAnswer& answer) {
       shard.OnWrite(answer);
@@ -113,7 +113,7 @@
   this->client.Read(std::get<store::ObjectKey>(call), std::move(on_read));
 }
 
-void OnceJournal::Deliver(once::Shard& shard) {
+void IdempotencyJournal::Deliver(once::Shard& shard) {
   for (once::Decision& decision : shard.TakeDecisions()) {
     const auto found = this->waiting.find(decision.claim);
     if (found == this->waiting.end()) continue;
--- a/lib/platform/record_inspector.cc
+++ b/lib/platform/record_inspector.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-const std::optional<records::Record>& RecordSchemas::Parsed(
+const std::optional<records::Record>& SchemaRecordInspector::Parsed(
     const std::string& text) const {
   const auto found = this->parsed.find(text);
   if (found != this->parsed.end()) return found->second;
@@ -51,7 +51,7 @@
   return this->parsed.emplace(text, std::move(record)).first->second;
 }
 
-std::vector<std::string> RecordSchemas::Problems(
+std::vector<std::string> SchemaRecordInspector::Problems(
     const control::RecordMap& records) const {
   std::vector<records::Record> known;
   for (const auto& [name, text] : records) {
@@ -65,7 +65,7 @@
   return problems;
 }
 
-control::Inspection RecordSchemas::Inspect(const control::RecordMap& records,
+control::Inspection SchemaRecordInspector::Inspect(const control::RecordMap& records,
                                            const std::string& name) const {
   const std::string& text = records.at(name);
   control::Inspection inspection{SchemaOf(text), {}};
@@ -99,7 +99,7 @@
   return inspection;
 }
 
-std::vector<std::string> RecordSchemas::InspectRemoval(
+std::vector<std::string> SchemaRecordInspector::InspectRemoval(
     const control::RecordMap& records, const std::string&) const {
   std::vector<std::string> problems;
   for (const std::string& problem : this->Problems(records)) {
