--- a/bench/decisions/routers.h
+++ b/bench/decisions/routers.h
@@ -42,7 +42,8 @@
 /// This repository's decisions.
 class GateRouter {
  public:
-  GateRouter(const RouterSetup& setup, const admission::AdmissionSettings& settings);
+  GateRouter(const RouterSetup& setup,
+             const admission::AdmissionSettings& settings);
 
   /// Returns false when the job is refused at once.
   bool Offer(TimePoint now, const Job& job);
--- a/include/toucanwharf/admission/admission_controller.h
+++ b/include/toucanwharf/admission/admission_controller.h
@@ -183,7 +183,7 @@
   /// Notes that request \p id, which was handed over, goes on at
   /// \p endpoints: a stage was replaced.
   void Rerouted(TimePoint now, const std::string& id,
-             const std::vector<routing::Endpoint>& endpoints);
+                const std::vector<routing::Endpoint>& endpoints);
 
   /// Notes the end of request \p id after \p output_tokens, and forgets it.
   /// Precondition: it was handed over.
--- a/include/toucanwharf/admission/shares.h
+++ b/include/toucanwharf/admission/shares.h
@@ -102,7 +102,8 @@
   Usage Served() const;
 
   /// Takes in what \p peer served. Charges the difference to its last word.
-  void MergePeerUsage(TimePoint now, const std::string& peer, const Usage& usage);
+  void MergePeerUsage(TimePoint now, const std::string& peer,
+                      const Usage& usage);
 
   /// Charges for peers that have fallen silent. To be called a few times a
   /// second.
--- a/include/toucanwharf/attempts/attempt_policy.h
+++ b/include/toucanwharf/attempts/attempt_policy.h
@@ -54,12 +54,13 @@
 /// whether another arrival may be caused. A request that isn't idempotent and
 /// may have run is never sent again (I4), and is never called "not run" (I3).
 /// Thread safety: safe.
-NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end,
-               bool budget_left);
+NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries,
+                       AttemptOutcome end, bool budget_left);
 
 /// Returns whether NextStepAfter could say kRetry with a budget.
 /// Thread safety: safe.
-bool MayRetry(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end);
+bool MayRetry(const routes::Route& route, const AttemptCounts& tries,
+              AttemptOutcome end);
 
 }  // namespace toucanwharf::attempts
 
--- a/include/toucanwharf/attempts/stall_detector.h
+++ b/include/toucanwharf/attempts/stall_detector.h
@@ -38,7 +38,8 @@
 class StallDetector {
  public:
   /// \p first_event is the time in which the first event is wanted.
-  explicit StallDetector(Duration first_event, const StallDetectorSettings& chosen = {})
+  explicit StallDetector(Duration first_event,
+                         const StallDetectorSettings& chosen = {})
       : settings(chosen), objective(first_event) {}
 
   /// Notes an event.
--- a/include/toucanwharf/attempts/startup_wait.h
+++ b/include/toucanwharf/attempts/startup_wait.h
@@ -31,7 +31,7 @@
  public:
   /// \p process_start is when the process began to listen.
   explicit StartupWait(TimePoint process_start,
-                     const StartupWaitSettings& chosen = {})
+                       const StartupWaitSettings& chosen = {})
       : settings(chosen), started(process_start) {}
 
   /// Returns whether a request of \p bytes may wait, and counts it if so.
--- a/include/toucanwharf/daemon/answer_admission.h
+++ b/include/toucanwharf/daemon/answer_admission.h
@@ -31,8 +31,8 @@
 class AnswerAdmission {
  public:
   /// Precondition: all references outlive the gate.
-  AnswerAdmission(transport::EventLoop& loop, Directory& directory, Metrics& metrics,
-             std::uint64_t seed);
+  AnswerAdmission(transport::EventLoop& loop, Directory& directory,
+                  Metrics& metrics, std::uint64_t seed);
   AnswerAdmission(const AnswerAdmission&) = delete;
   AnswerAdmission& operator=(const AnswerAdmission&) = delete;
 
@@ -54,10 +54,12 @@
   void RecordPlan(const std::string& id, const pipeline::Plan& plan);
 
   /// Notes that \p endpoint refused an attempt of answer \p id.
-  void RecordEndpointRefusal(const std::string& id, const std::string& endpoint);
+  void RecordEndpointRefusal(const std::string& id,
+                             const std::string& endpoint);
 
   /// Notes a failure that speaks against \p endpoint.
-  void RecordEndpointFailure(const std::string& id, const std::string& endpoint);
+  void RecordEndpointFailure(const std::string& id,
+                             const std::string& endpoint);
 
   /// Notes the end of answer \p id after \p tokens; without effect when it is
   /// unknown.
--- a/include/toucanwharf/daemon/answer_runner.h
+++ b/include/toucanwharf/daemon/answer_runner.h
@@ -47,7 +47,8 @@
  public:
   /// Precondition: all references outlive the runner.
   AnswerRunner(transport::EventLoop& loop, transport::HttpClient& client,
-               AnswerAdmission& gate, Metrics& metrics, timeline::Buffer& events);
+               AnswerAdmission& gate, Metrics& metrics,
+               timeline::Buffer& events);
   ~AnswerRunner();
   AnswerRunner(const AnswerRunner&) = delete;
   AnswerRunner& operator=(const AnswerRunner&) = delete;
--- a/include/toucanwharf/daemon/caller_api.h
+++ b/include/toucanwharf/daemon/caller_api.h
@@ -26,7 +26,8 @@
   /// Precondition: all references outlive the object.
   CallerApi(transport::EventLoop& loop, const settings::Settings& settings,
             const platform::ConfigService& config, AnswerSessions& sessions,
-            ServiceRunner& services, EntryAdviceProvider& entries, Metrics& metrics);
+            ServiceRunner& services, EntryAdviceProvider& entries,
+            Metrics& metrics);
 
   /// Reads an answer that another instance runs, if it can be found.
   /// Returns false, and leaves the exchange alone, if not.
--- a/include/toucanwharf/daemon/entry_advice_provider.h
+++ b/include/toucanwharf/daemon/entry_advice_provider.h
@@ -20,8 +20,8 @@
 class EntryAdviceProvider {
  public:
   /// Precondition: all references outlive the object.
-  EntryAdviceProvider(const Directory& directory, const settings::Settings& settings,
-          std::uint64_t seed);
+  EntryAdviceProvider(const Directory& directory,
+                      const settings::Settings& settings, std::uint64_t seed);
 
   /// Returns the advice for \p customer as JSON.
   std::string Advice(const std::string& customer);
--- a/include/toucanwharf/daemon/fleet_sync.h
+++ b/include/toucanwharf/daemon/fleet_sync.h
@@ -43,15 +43,17 @@
  public:
   /// Precondition: all references outlive the object.
   FleetSync(transport::EventLoop& loop, const settings::Settings& settings,
-            const Directory& directory, Metrics& metrics, ConfigCallbacks config,
-            AnswerSender answers, std::uint64_t seed);
+            const Directory& directory, Metrics& metrics,
+            ConfigCallbacks config, AnswerSender answers, std::uint64_t seed);
 
   /// Listens for peers and begins to talk. Precondition: called once.
   Result<void> Start();
   /// Tells the others that this router drains (I5).
   void AnnounceDrain() { this->peers.Leave(); }
   /// Returns whether the router \p id must be in no advice any more.
-  bool IsDeparted(const std::string& id) const { return this->peers.IsGone(id); }
+  bool IsDeparted(const std::string& id) const {
+    return this->peers.IsGone(id);
+  }
   /// Returns where peers reach the router that made the request id \p id, if
   /// it is another one and not known to be dead.
   std::optional<std::string> OriginOf(const std::string& id) const;
--- a/include/toucanwharf/endpoints/endpoint_table.h
+++ b/include/toucanwharf/endpoints/endpoint_table.h
@@ -58,7 +58,8 @@
   /// Store's revision of the list that last changed anything.
   std::uint64_t revision = 0;
 
-  friend bool operator==(const EndpointListSnapshot&, const EndpointListSnapshot&) = default;
+  friend bool operator==(const EndpointListSnapshot&,
+                         const EndpointListSnapshot&) = default;
 };
 
 /// The endpoints in use.
--- a/include/toucanwharf/endpoints/liveness_evidence.h
+++ b/include/toucanwharf/endpoints/liveness_evidence.h
@@ -13,7 +13,8 @@
   std::vector<pipeline::Stage> stages;
   TimePoint last_event;
 
-  friend bool operator==(const LivenessEvidence&, const LivenessEvidence&) = default;
+  friend bool operator==(const LivenessEvidence&,
+                         const LivenessEvidence&) = default;
 };
 
 /// Returns the engines of \p stages that no answer of \p others shows alive: an
--- a/include/toucanwharf/endpoints/load_tracker.h
+++ b/include/toucanwharf/endpoints/load_tracker.h
@@ -58,10 +58,12 @@
   /// The same for an endpoint that answers nothing at all, as this instance has
   /// found, so that answers under way through it have stopped. Returns whether
   /// that is news.
-  bool MarkUnresponsive(const std::string& endpoint, TimePoint until, TimePoint now);
+  bool MarkUnresponsive(const std::string& endpoint, TimePoint until,
+                        TimePoint now);
   /// The same by the word of another instance, which doesn't count beside an
   /// answer that this one got itself a moment ago.
-  bool MarkReportedUnresponsive(const std::string& endpoint, TimePoint until, TimePoint now);
+  bool MarkReportedUnresponsive(const std::string& endpoint, TimePoint until,
+                                TimePoint now);
   bool IsUnresponsive(const std::string& endpoint, TimePoint now) const;
   /// Notes that \p endpoint has answered this instance.
   void OnResponse(const std::string& endpoint, TimePoint now);
@@ -78,7 +80,8 @@
   /// \p until.
   void SetEngineStatus(const gossip::EngineStatus& fact, TimePoint until);
   /// Returns the report of \p endpoint that still counts, or null.
-  const gossip::EngineStatus* FindEngineStatus(const Endpoint& endpoint, TimePoint now) const;
+  const gossip::EngineStatus* FindEngineStatus(const Endpoint& endpoint,
+                                               TimePoint now) const;
 
   /// Returns \p endpoint as the path finder sees it.
   placement::Engine ToEngine(const Endpoint& endpoint, TimePoint now) const;
--- a/include/toucanwharf/gossip/backup_leaders.h
+++ b/include/toucanwharf/gossip/backup_leaders.h
@@ -29,23 +29,24 @@
 /// leader in the failure domain \p domain: the strongest, in other domains than
 /// its own and one another where there are such. All instances that know the
 /// same candidates choose the same. Thread safety: safe.
-std::vector<std::string> ChooseBackupLeaders(std::vector<BackupLeaderCandidate> candidates,
-                                        const std::string& domain);
+std::vector<std::string> ChooseBackupLeaders(
+    std::vector<BackupLeaderCandidate> candidates, const std::string& domain);
 
 /// The same, of the live peers.
 ///
 /// Load that it answers: when the leader of a large fleet dies, hundreds of
 /// instances lose their proofs of the configuration, their word of who lives
 /// and of all loads, for as long as the lease lasts, and each reads the store
-/// for itself meanwhile. All tell the backup leaders what they tell the leader, so
-/// that the backup leaders can tell everyone in its place. Thread safety: safe.
+/// for itself meanwhile. All tell the backup leaders what they tell the leader,
+/// so that the backup leaders can tell everyone in its place. Thread safety:
+/// safe.
 std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
-                                        const std::string& domain,
-                                        TimePoint now);
+                                             const std::string& domain,
+                                             TimePoint now);
 
 /// Returns whether the instance whose datagram address is \p own acts for a
-/// leader that there isn't: it is the first of \p backup_leaders that is heard of.
-/// Thread safety: safe.
+/// leader that there isn't: it is the first of \p backup_leaders that is heard
+/// of. Thread safety: safe.
 bool ActsForLeader(const PeerTable& peers,
                    const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now);
--- a/include/toucanwharf/gossip/beacon.h
+++ b/include/toucanwharf/gossip/beacon.h
@@ -73,7 +73,8 @@
   /// In whole thousands.
   double token_layers = 0;
 
-  friend bool operator==(const KeyedEngineStatus&, const KeyedEngineStatus&) = default;
+  friend bool operator==(const KeyedEngineStatus&,
+                         const KeyedEngineStatus&) = default;
 };
 
 /// One instance's state, addressed to one other.
@@ -111,20 +112,21 @@
   /// anew, with another clock, since it sent that stamp.
   std::string echo_of;
   std::vector<EndpointLoad> loads;
-  /// The endpoints that fleet_loads and engine_statuses are about: they say nothing of
-  /// others.
+  /// The endpoints that fleet_loads and engine_statuses are about: they say
+  /// nothing of others.
   KeyRange covered_keys;
-  /// From the leader, or its backup leader, only: what all instances together have
-  /// under way.
+  /// From the leader, or its backup leader, only: what all instances together
+  /// have under way.
   std::vector<KeyedLoad> fleet_loads;
   std::vector<Suspicion> suspicions;
   /// From the leader only.
   std::vector<KeyedEngineStatus> engine_statuses;
-  /// From the leader of a large fleet, or its backup leader, only: IPv4 addresses, in
-  /// host byte order, of all instances to which callers may be sent.
+  /// From the leader of a large fleet, or its backup leader, only: IPv4
+  /// addresses, in host byte order, of all instances to which callers may be
+  /// sent.
   std::vector<std::uint32_t> ready_instances;
-  /// From the leader of a large fleet only: datagram addresses of its backup leaders
-  /// (see ChooseBackupLeaders).
+  /// From the leader of a large fleet only: datagram addresses of its backup
+  /// leaders (see ChooseBackupLeaders).
   std::vector<std::string> backup_leaders;
   /// Datagram addresses of other instances that the sender knows.
   std::vector<std::string> peers;
--- a/include/toucanwharf/gossip/beacon_schedule.h
+++ b/include/toucanwharf/gossip/beacon_schedule.h
@@ -23,8 +23,8 @@
   /// A coordinator tells everyone in every second round: what it says of the
   /// configuration's age and of all loads is what the others go by.
   std::size_t coordinator_every = 2;
-  /// A backup leader hears everyone in every second round: only the leader's sums must
-  /// be as new as can be.
+  /// A backup leader hears everyone in every second round: only the leader's
+  /// sums must be as new as can be.
   std::size_t backup_leader_every = 2;
   /// One of another failure domain gets a beacon in every fourth round.
   std::size_t far_every = 4;
@@ -44,8 +44,8 @@
   std::vector<std::string> same_domain;
   /// Those in other domains.
   std::vector<std::string> other_domains;
-  /// The leader, empty if none is known, and its backup leaders; they are among the
-  /// others as well.
+  /// The leader, empty if none is known, and its backup leaders; they are among
+  /// the others as well.
   std::string leader;
   std::vector<std::string> backup_leaders;
   /// Whether this instance leads or is a backup leader.
@@ -59,12 +59,13 @@
 /// Load that it answers: if each of N instances told every other four times a
 /// second, each would send and read 8 N messages a second, and a fleet of 86
 /// small instances would spend its processors on talk. Here an instance sends
-/// and reads about 50 a second whatever the size, the leader and its backup leaders
-/// 2 N. Most stay in the failure domain, whose links are its own.
+/// and reads about 50 a second whatever the size, the leader and its backup
+/// leaders 2 N. Most stay in the failure domain, whose links are its own.
 /// Thread safety: none; for one thread.
 class BeaconSchedule {
  public:
-  explicit BeaconSchedule(const BeaconScheduleSettings& chosen = {}) : settings(chosen) {}
+  explicit BeaconSchedule(const BeaconScheduleSettings& chosen = {})
+      : settings(chosen) {}
 
   Duration Period() const { return this->settings.period; }
   /// Returns how often a coordinator tells everyone.
--- a/include/toucanwharf/gossip/election_policy.h
+++ b/include/toucanwharf/gossip/election_policy.h
@@ -38,7 +38,8 @@
 class ElectionPolicy {
  public:
   /// \p share is the part of a core that this process may use.
-  ElectionPolicy(double share, TimePoint start, const ElectionSettings& chosen = {})
+  ElectionPolicy(double share, TimePoint start,
+                 const ElectionSettings& chosen = {})
       : settings(chosen),
         strong(share >= chosen.strong_share),
         started(start) {}
--- a/include/toucanwharf/gossip/initial_read_policy.h
+++ b/include/toucanwharf/gossip/initial_read_policy.h
@@ -26,7 +26,8 @@
 
 /// Returns whether an instance that may use the part \p share of a core reads
 /// at once, and tells the others of its failure domain. Thread safety: safe.
-inline bool ReadsImmediately(double share, const InitialReadSettings& settings = {}) {
+inline bool ReadsImmediately(double share,
+                             const InitialReadSettings& settings = {}) {
   return share >= settings.strong_share;
 }
 
@@ -44,7 +45,7 @@
   /// \p share is the part of a core that this process may use, \p unit a number
   /// from 0 to 1 that was drawn at random.
   InitialReadPolicy(double share, TimePoint start, double unit,
-            const InitialReadSettings& chosen = {})
+                    const InitialReadSettings& chosen = {})
       : settings(chosen),
         strong(ReadsImmediately(share, chosen)),
         started(start),
--- a/include/toucanwharf/gossip/peer_table.h
+++ b/include/toucanwharf/gossip/peer_table.h
@@ -57,22 +57,23 @@
   /// \p callers_address when a leader is wanted: the stronger ones, and of
   /// equals those with the lesser address.
   std::size_t CandidatesAhead(double share, const std::string& callers_address,
-                    TimePoint now) const;
+                              TimePoint now) const;
 
   /// Returns the age of the newest proof of the configuration that the leader
-  /// and \p backup_leaders say they have, or nothing if none of them is heard of.
-  std::optional<Duration> CoordinatorConfirmationAge(const std::vector<std::string>& backup_leaders,
-                                       TimePoint now) const;
+  /// and \p backup_leaders say they have, or nothing if none of them is heard
+  /// of.
+  std::optional<Duration> CoordinatorConfirmationAge(
+      const std::vector<std::string>& backup_leaders, TimePoint now) const;
 
   /// Returns the addresses to send to.
   std::vector<std::string> Addresses(TimePoint now) const;
   /// Returns those of peers in the failure domain \p domain, and of peers that
   /// were never heard of, which may be in it.
   std::vector<std::string> AddressesInDomain(const std::string& domain,
-                                         TimePoint now) const;
+                                             TimePoint now) const;
   /// Returns the others.
   std::vector<std::string> AddressesInOtherDomains(const std::string& domain,
-                                        TimePoint now) const;
+                                                   TimePoint now) const;
   /// Returns the peer at \p address if it was heard of lately, or null.
   const Peer* Live(const std::string& address, TimePoint now) const;
   /// Returns whether the instance at \p address was ever heard of.
@@ -83,8 +84,8 @@
   /// Returns all peers heard of lately.
   std::vector<const Peer*> AllLive(TimePoint now) const;
   /// Returns whether there are so many peers that each is heard of only by
-  /// turns (see BeaconSchedule), so that what is known of their loads is old. An
-  /// instance that is cut off from them is still one of a large fleet.
+  /// turns (see BeaconSchedule), so that what is known of their loads is old.
+  /// An instance that is cut off from them is still one of a large fleet.
   bool IsLargeFleet(TimePoint now) const;
   /// Returns how many instances there are or lately were, this one included.
   /// One of which only the address is known counts as well: a process that has
@@ -102,10 +103,10 @@
   /// older, never younger. A peer that at that moment saw an older revision
   /// proves as much: what is newer came later.
   std::optional<TimePoint> ConfigurationConfirmedAt(std::uint64_t revision,
-                                                TimePoint now) const;
+                                                    TimePoint now) const;
   /// The same for the list of endpoints.
   std::optional<TimePoint> EndpointsConfirmedAt(std::uint64_t revision,
-                                            TimePoint now) const;
+                                                TimePoint now) const;
   /// Returns the newest moment of the own clock at which the store is known to
   /// have answered a peer's question for the list of endpoints, whatever list
   /// that was, or nothing.
--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -59,10 +59,12 @@
 
 /// A call of the store without a byte of an answer for so long counts as lost.
 /// A slow store takes a quarter of a second.
-inline constexpr Duration kStoreInactivityTimeout = std::chrono::milliseconds(600);
+inline constexpr Duration kStoreInactivityTimeout =
+    std::chrono::milliseconds(600);
 /// The same for the whole answer. Where all instances of a large fleet start
 /// anew and read at once, a configuration of 300 KB comes to each in a second.
-inline constexpr Duration kStoreResponseTimeout = std::chrono::milliseconds(3000);
+inline constexpr Duration kStoreResponseTimeout =
+    std::chrono::milliseconds(3000);
 
 /// The store's calls. Every callback runs once, later, on the loop's thread.
 template <typename S>
--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -13,16 +13,16 @@
 #include <string>
 #include <vector>
 
-#include "toucanwharf/attempts/probe_backoff.h"
 #include "toucanwharf/attempts/arrival_budget.h"
+#include "toucanwharf/attempts/probe_backoff.h"
 #include "toucanwharf/attempts/startup_wait.h"
 #include "toucanwharf/endpoints/liveness_evidence.h"
 #include "toucanwharf/eventlog/logger.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/engine_probe.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/settings.h"
 #include "toucanwharf/support/random.h"
 
@@ -156,7 +156,8 @@
   /// Notes that \p endpoint gives no sign of life.
   void NoteSilent(const std::string& endpoint);
   /// Returns what the streams under way, but for \p except, show of engines.
-  std::vector<endpoints::LivenessEvidence> SignsBeside(const ProxiedRequest& except) const;
+  std::vector<endpoints::LivenessEvidence> SignsBeside(
+      const ProxiedRequest& except) const;
   /// Lets \p passage wait until there is room for its answer.
   void Enqueue(std::shared_ptr<ProxiedRequest> passage);
   void ServeQueue();
--- a/include/toucanwharf/instance/instance.h
+++ b/include/toucanwharf/instance/instance.h
@@ -13,9 +13,9 @@
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
 #include "toucanwharf/instance/gateway.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/metrics.h"
 #include "toucanwharf/instance/peer_link.h"
 #include "toucanwharf/instance/placement_driver.h"
@@ -41,14 +41,14 @@
                 this->settings, A::Headers(),
                 {A::ReportRequest(), &A::ToReport, &A::RerouteRequest,
                  &A::PathText, &A::ToRerouteFault}),
-        peers(this->loop, this->client, this->state, this->logger,
-              this->lists, this->settings),
+        peers(this->loop, this->client, this->state, this->logger, this->lists,
+              this->settings),
         sync(
             this->loop, this->store, this->state, this->logger, this->lists,
             [this] { this->OnChange(); },
             StoreSyncTimes(this->settings.bounds.configuration),
-            gossip::InitialReadPolicy(this->settings.processor_share, this->loop.Now(),
-                              this->random.Unit())),
+            gossip::InitialReadPolicy(this->settings.processor_share,
+                                      this->loop.Now(), this->random.Unit())),
         placement(this->loop, this->client, this->store, this->state,
                   this->peers, this->logger, this->settings) {}
 
@@ -244,7 +244,8 @@
   /// Tells the failure domain, once, that this process has what others that
   /// have just started wait for.
   void TellAtStart() {
-    const bool reads_first = gossip::ReadsImmediately(this->settings.processor_share);
+    const bool reads_first =
+        gossip::ReadsImmediately(this->settings.processor_share);
     const bool has = this->state.knows_instances && this->state.table &&
                      this->state.endpoints.Revision() > 0;
     if (!reads_first || !has || std::exchange(this->told_at_start, true)) {
--- a/include/toucanwharf/instance/instance_state.h
+++ b/include/toucanwharf/instance/instance_state.h
@@ -19,7 +19,8 @@
 /// What one process believes about the world, read by all its parts.
 /// Thread safety: none; for the loop's thread.
 struct InstanceState {
-  explicit InstanceState(const InstanceSettings& settings, std::string instance_id);
+  explicit InstanceState(const InstanceSettings& settings,
+                         std::string instance_id);
 
   /// Changes with each start.
   std::string instance;
@@ -33,8 +34,8 @@
   endpoints::LoadTracker loads;
   gossip::PeerTable peers;
   gossip::ReadyInstanceList ready_list;
-  /// Datagram addresses of the leader's backup leaders, in a large fleet, as the
-  /// leader last named them; and whether this instance is one of them.
+  /// Datagram addresses of the leader's backup leaders, in a large fleet, as
+  /// the leader last named them; and whether this instance is one of them.
   std::vector<std::string> backup_leaders;
   bool is_backup_leader = false;
   /// Whether this process was told to stop, and when.
--- a/include/toucanwharf/instance/metrics.h
+++ b/include/toucanwharf/instance/metrics.h
@@ -4,8 +4,8 @@
 #include <cstdint>
 #include <string>
 
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/gateway.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/support/clock.h"
 
 namespace toucanwharf::instance {
--- a/include/toucanwharf/instance/peer_link.h
+++ b/include/toucanwharf/instance/peer_link.h
@@ -12,16 +12,16 @@
 
 #include "toucanwharf/eventlog/logger.h"
 #include "toucanwharf/gossip/backup_leaders.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 #include "toucanwharf/gossip/fleet_loads.h"
 #include "toucanwharf/gossip/key_range.h"
-#include "toucanwharf/gossip/beacon_schedule.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/datagram.h"
 #include "toucanwharf/http/server.h"
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
-#include "toucanwharf/instance/snapshot_exchange.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/settings.h"
+#include "toucanwharf/instance/snapshot_exchange.h"
 #include "toucanwharf/support/random.h"
 
 namespace toucanwharf::instance {
@@ -50,7 +50,8 @@
   /// processes of a large fleet may have started anew; until a leader is found
   /// nobody would tell them of loads and proofs, and each would read the store
   /// for itself.
-  void AddRegistered(const std::vector<gossip::BackupLeaderCandidate>& registered);
+  void AddRegistered(
+      const std::vector<gossip::BackupLeaderCandidate>& registered);
   /// Sends beacons at once, because something changed that others act on.
   void Announce();
   /// The same for a change of the configuration or the list of endpoints. In a
@@ -112,8 +113,8 @@
   /// Returns whether this instance tells the others of the fleet: it leads, or
   /// it is a backup leader and there is no leader.
   bool SpeaksForFleet(TimePoint now) const;
-  /// Returns whether this instance has led, or been a backup leader, for long enough
-  /// to have heard of all that live.
+  /// Returns whether this instance has led, or been a backup leader, for long
+  /// enough to have heard of all that live.
   bool HearsAll(TimePoint now) const;
   void AdoptFleet(const gossip::Beacon& beacon, TimePoint now);
   void SetBackupLeaders(std::vector<std::string> addresses);
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -13,8 +13,8 @@
 
 #include "toucanwharf/control/lease.h"
 #include "toucanwharf/eventlog/logger.h"
-#include "toucanwharf/gossip/election_policy.h"
 #include "toucanwharf/gossip/backup_leaders.h"
+#include "toucanwharf/gossip/election_policy.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/instance/adapter.h"
 #include "toucanwharf/instance/instance_state.h"
@@ -172,8 +172,8 @@
     return !this->state.peers.Leader(now).empty();
   }
 
-  /// The backup leaders, which have heard what the leader heard, go first, and the
-  /// others seconds later.
+  /// The backup leaders, which have heard what the leader heard, go first, and
+  /// the others seconds later.
   std::size_t Ahead(TimePoint now) const {
     constexpr std::size_t kBehindBackupLeaders = 24;
     const std::size_t ahead = this->state.peers.CandidatesAhead(
@@ -184,11 +184,11 @@
 
   void PollLease() {
     const TimePoint now = this->loop.Now();
-    // A backup leader looks at the lease all the time: a challenger has to see it
-    // unchanged for a whole term, and that time is over then.
-    const bool turn =
-        this->state.is_backup_leader ||
-        this->election_policy.MayAttempt(!this->AnotherLeads(now), this->Ahead(now), now);
+    // A backup leader looks at the lease all the time: a challenger has to see
+    // it unchanged for a whole term, and that time is over then.
+    const bool turn = this->state.is_backup_leader ||
+                      this->election_policy.MayAttempt(!this->AnotherLeads(now),
+                                                       this->Ahead(now), now);
     // A lease that is given back must be, whoever else leads by now.
     const bool stopping = this->state.stopping_since.has_value();
     if (!this->state.leads && !turn && !stopping) return;
@@ -220,7 +220,8 @@
     if (answered) return;
     const TimePoint now = this->loop.Now();
     const gossip::PeerTable& known = this->state.peers;
-    const bool one_of_many = known.IsLargeFleet(now) && !this->state.is_backup_leader;
+    const bool one_of_many =
+        known.IsLargeFleet(now) && !this->state.is_backup_leader;
     const Duration pause =
         one_of_many ? this->times.lease_turn *
                           static_cast<std::int64_t>(known.InstanceCount(now))
@@ -355,7 +356,9 @@
       return;
     }
     // Another endpoint may have got the address, or this one started anew.
-    if (report->start_time_ms != 0 && report->start_time_ms != known.start_time_ms) return;
+    if (report->start_time_ms != 0 &&
+        report->start_time_ms != known.start_time_ms)
+      return;
     this->book.OnReport(id, report->engine, asked);
     const TimePoint now = this->loop.Now();
     // In a small fleet every answer is known sooner than a report tells of it,
@@ -363,7 +366,8 @@
     const double held =
         this->state.peers.IsLargeFleet(now) ? report->engine.token_layers : 0;
     this->state.loads.SetEngineStatus(
-        {id, known.start_time_ms, report->engine.layers, report->engine.slowdown, held},
+        {id, known.start_time_ms, report->engine.layers,
+         report->engine.slowdown, held},
         now + this->times.facts_for);
   }
 
--- a/include/toucanwharf/instance/snapshot_exchange.h
+++ b/include/toucanwharf/instance/snapshot_exchange.h
@@ -13,8 +13,8 @@
 #include "toucanwharf/gossip/beacon.h"
 #include "toucanwharf/http/client.h"
 #include "toucanwharf/http/server.h"
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
+#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/support/random.h"
 
 namespace toucanwharf::instance {
@@ -41,8 +41,8 @@
 
   /// Precondition: all references outlive the object.
   SnapshotExchange(http::Loop& event_loop, http::Client& http_client,
-             InstanceState& shared_state, eventlog::Logger& log,
-             EndpointListLog& list_log, std::string own_failure_domain);
+                   InstanceState& shared_state, eventlog::Logger& log,
+                   EndpointListLog& list_log, std::string own_failure_domain);
 
   /// Sets whom to tell. Precondition: called before all others.
   void Start(OnConfiguration on_configuration, OnEndpoints on_endpoints);
@@ -123,7 +123,8 @@
 /// Thread safety: safe.
 std::string EndpointsToText(const endpoints::EndpointListSnapshot& list);
 /// The way back; nothing for a text that is no such list. Thread safety: safe.
-std::optional<endpoints::EndpointListSnapshot> EndpointsFromText(const std::string& text);
+std::optional<endpoints::EndpointListSnapshot> EndpointsFromText(
+    const std::string& text);
 
 }  // namespace toucanwharf::instance
 
--- a/include/toucanwharf/instance/store_sync.h
+++ b/include/toucanwharf/instance/store_sync.h
@@ -14,8 +14,8 @@
 #include "toucanwharf/gossip/initial_read_policy.h"
 #include "toucanwharf/http/loop.h"
 #include "toucanwharf/instance/adapter.h"
-#include "toucanwharf/instance/instance_state.h"
 #include "toucanwharf/instance/endpoint_list_log.h"
+#include "toucanwharf/instance/instance_state.h"
 
 namespace toucanwharf::instance {
 
@@ -47,9 +47,9 @@
   /// The same in a large fleet, whose others hear of it twice a second: two of
   /// its messages in a row may be lost before they read for themselves.
   Duration reader_period_large;
-  /// A backup leader whose newest proof is older than this reads: the leader has
-  /// probably gone, and the others go by the backup leader's word before their own
-  /// proofs get too old.
+  /// A backup leader whose newest proof is older than this reads: the leader
+  /// has probably gone, and the others go by the backup leader's word before
+  /// their own proofs get too old.
   Duration backup_leader_confirmation;
   Duration follower_turn = std::chrono::milliseconds(25);
   /// An instance whose newest proof is older than this reads for itself. The
@@ -79,7 +79,8 @@
   StoreSync(http::Loop& event_loop, Store& object_store,
             InstanceState& shared_state, eventlog::Logger& log,
             EndpointListLog& list_log, std::function<void()> on_change,
-            const StoreSyncTimes& chosen, const gossip::InitialReadPolicy& at_start)
+            const StoreSyncTimes& chosen,
+            const gossip::InitialReadPolicy& at_start)
       : loop(event_loop),
         store(object_store),
         state(shared_state),
@@ -156,7 +157,8 @@
   Duration Period(bool large) const {
     if (this->state.leads) return this->times.ReaderPeriod(large);
     const bool is_backup_leader = large && this->state.is_backup_leader;
-    return is_backup_leader ? this->times.backup_leader_confirmation : this->times.oldest_proof;
+    return is_backup_leader ? this->times.backup_leader_confirmation
+                            : this->times.oldest_proof;
   }
 
   bool Due(const std::optional<Duration>& age, Duration period, TimePoint asked,
@@ -186,12 +188,13 @@
     const Duration own = this->times.away_period *
                          (1 << std::min(this->failures, kMostDoublings));
     if (!this->state.peers.IsLargeFleet(now) || this->state.leads) return own;
-    // Where the leader or a backup leader has read lately, the store is up, and only
-    // this instance's reads fail: it must go on, or it would use endpoints that
-    // have left (I5).
-    const auto coordinators =
-        this->state.peers.CoordinatorConfirmationAge(this->state.backup_leaders, now);
-    const bool outage = coordinators && *coordinators > this->times.reader_period_large * 3;
+    // Where the leader or a backup leader has read lately, the store is up, and
+    // only this instance's reads fail: it must go on, or it would use endpoints
+    // that have left (I5).
+    const auto coordinators = this->state.peers.CoordinatorConfirmationAge(
+        this->state.backup_leaders, now);
+    const bool outage =
+        coordinators && *coordinators > this->times.reader_period_large * 3;
     // A process that has no configuration yet uses no endpoints. Where all have
     // just started and the store can't serve them at once, hundreds that ask on
     // would keep it from serving any; whoever gets an answer tells the others.
--- a/include/toucanwharf/once/entry.h
+++ b/include/toucanwharf/once/entry.h
@@ -113,7 +113,7 @@
 }  // namespace toucanwharf::once
 
 template <>
-struct std::is_error_code_enum<toucanwharf::once::IdempotencyError> : std::true_type {
-};
+struct std::is_error_code_enum<toucanwharf::once::IdempotencyError>
+    : std::true_type {};
 
 #endif  // TOUCANWHARF_ONCE_ENTRY_H_
--- a/include/toucanwharf/pipeline/answer.h
+++ b/include/toucanwharf/pipeline/answer.h
@@ -110,9 +110,9 @@
   bool alive = false;
 };
 
-using Event =
-    std::variant<TokenArrived, StreamFailed, StreamEnded, AttemptRefused,
-                 TimerFired, CallerDisconnected, PlanReady, PlanFailed, ProbeCompleted>;
+using Event = std::variant<TokenArrived, StreamFailed, StreamEnded,
+                           AttemptRefused, TimerFired, CallerDisconnected,
+                           PlanReady, PlanFailed, ProbeCompleted>;
 
 // ---- Actions ----------------------------------------------------------------
 
@@ -211,7 +211,8 @@
   /// To the next token.
   Duration resuming{0};
 
-  friend bool operator==(const RecordRecovery&, const RecordRecovery&) = default;
+  friend bool operator==(const RecordRecovery&,
+                         const RecordRecovery&) = default;
 };
 
 /// The answer is whole. Nothing follows.
--- a/include/toucanwharf/pipeline/answer_state_machine.h
+++ b/include/toucanwharf/pipeline/answer_state_machine.h
@@ -46,7 +46,7 @@
   /// Makes the machine of \p request. Preconditions: its layers > 0 and
   /// its max_tokens > 0.
   explicit AnswerStateMachine(AnswerRequest answer_request,
-                         DeadlinePolicy deadline_policy = {});
+                              DeadlinePolicy deadline_policy = {});
 
   /// Asks for the first plan. Precondition: called once, before any event.
   Actions Start(TimePoint now);
--- a/include/toucanwharf/placement/path_finder.h
+++ b/include/toucanwharf/placement/path_finder.h
@@ -36,7 +36,7 @@
 /// Returns the tokens times layers that an engine of \p kind has room for
 /// beside \p held layers; 0 when the layers don't fit.
 double TokenLayerCapacity(const EngineModel& model, const AcceleratorKind& kind,
-                      std::uint32_t held);
+                          std::uint32_t held);
 
 /// One answer that needs a path.
 struct PathQuery {
@@ -105,9 +105,9 @@
 inline constexpr std::size_t kEntryChoicesForResumed = 1;
 
 /// Part of an engine's room that may be promised in a large fleet, in place of
-/// PathSettings::capacity_share. What is known of loads there is up to a second old
-/// either way, and engines that refuse for want of memory cost a caller less
-/// than room that lies idle.
+/// PathSettings::capacity_share. What is known of loads there is up to a second
+/// old either way, and engines that refuse for want of memory cost a caller
+/// less than room that lies idle.
 inline constexpr double kCapacityShareInLargeFleet = 1.1;
 
 /// Why there is no path.
--- a/include/toucanwharf/placement/stabilization_window.h
+++ b/include/toucanwharf/placement/stabilization_window.h
@@ -31,7 +31,8 @@
 /// Thread safety: none; for one thread.
 class StabilizationWindow {
  public:
-  explicit StabilizationWindow(const StabilizationWindowSettings& chosen = {}) : settings(chosen) {}
+  explicit StabilizationWindow(const StabilizationWindowSettings& chosen = {})
+      : settings(chosen) {}
 
   /// Takes the list as it is at \p now. Returns whether it may be planned for;
   /// once that is so it stays so.
--- a/include/toucanwharf/platform/idempotency_journal.h
+++ b/include/toucanwharf/platform/idempotency_journal.h
@@ -23,7 +23,8 @@
   /// The caller gets a verdict by then.
   Duration verdict_timeout{std::chrono::seconds(3)};
 
-  friend bool operator==(const IdempotentRequest&, const IdempotentRequest&) = default;
+  friend bool operator==(const IdempotentRequest&,
+                         const IdempotentRequest&) = default;
 };
 
 /// The journal of idempotency keys over the platform (I4). Claims made through
@@ -36,7 +37,7 @@
   /// \p incarnation is unique to this process. Precondition: the references
   /// outlive the journal.
   IdempotencyJournal(transport::EventLoop& loop, Client& client,
-              const std::string& incarnation);
+                     const std::string& incarnation);
 
   /// Asks for the request's key; \p done gets the verdict, later. Returns the
   /// claim's id, for Conclude.
--- a/include/toucanwharf/store/conditional_write.h
+++ b/include/toucanwharf/store/conditional_write.h
@@ -45,7 +45,9 @@
   /// Returns the object that stands in the way, or nothing if it was deleted.
   /// It may have been written on top of this write: a caller to whom that
   /// matters looks into the value. Precondition: Next() is kConflict.
-  const std::optional<Object>& ConflictingObject() const { return this->obstacle; }
+  const std::optional<Object>& ConflictingObject() const {
+    return this->obstacle;
+  }
 
  private:
   bool Done() const;
--- a/lib/admission/admission_controller.cc
+++ b/lib/admission/admission_controller.cc
@@ -15,7 +15,8 @@
 /// Part of the allowed wait up to which a request is let in. Under lasting
 /// overload the queue stands at this bound; at the whole of it every error of
 /// the estimate makes requests lapse after they waited: 159 in a minute at
-/// three times the load, against none at this part (admission_controller_test.cc).
+/// three times the load, against none at this part
+/// (admission_controller_test.cc).
 constexpr double kAdmitPart = 0.85;
 
 /// Part by which Retry-After is spread, so that callers refused together don't
@@ -49,7 +50,8 @@
   return "";
 }
 
-AdmissionController::AdmissionController(const AdmissionSettings& settings, std::uint64_t seed)
+AdmissionController::AdmissionController(const AdmissionSettings& settings,
+                                         std::uint64_t seed)
     : ejection(settings.ejection),
       choice(settings.draws),
       limiter(settings.limiter),
@@ -57,9 +59,9 @@
       retries(settings.retries),
       random(seed) {}
 
-routing::Endpoint AdmissionController::AddEndpoint(TimePoint now, std::string_view id,
-                                    const routing::EndpointSpec& spec,
-                                    bool fresh) {
+routing::Endpoint AdmissionController::AddEndpoint(
+    TimePoint now, std::string_view id, const routing::EndpointSpec& spec,
+    bool fresh) {
   const routing::Endpoint endpoint = this->names.NumberOf(id);
   this->loads.Add(endpoint, spec);
   this->ejection.Add(now, endpoint, fresh);
@@ -87,7 +89,8 @@
   this->prefixes.Forget(endpoint);
 }
 
-void AdmissionController::Report(std::string_view id, const routing::LoadReport& report) {
+void AdmissionController::Report(std::string_view id,
+                                 const routing::LoadReport& report) {
   const routing::Endpoint endpoint = this->names.NumberOf(id);
   if (!this->IsMember(endpoint)) return;
   this->loads.Report(endpoint, report);
@@ -102,7 +105,8 @@
   this->limiter.Reported(endpoint, sample);
 }
 
-void AdmissionController::CacheChanged(std::string_view id, const routing::CacheEvent& event) {
+void AdmissionController::CacheChanged(std::string_view id,
+                                       const routing::CacheEvent& event) {
   this->prefixes.Apply(this->names.NumberOf(id), event);
 }
 
@@ -166,16 +170,17 @@
   if (this->IsMember(endpoint)) this->limiter.Refused(endpoint);
 }
 
-void AdmissionController::Rerouted(TimePoint now, const std::string& id,
-                 const std::vector<routing::Endpoint>& endpoints) {
+void AdmissionController::Rerouted(
+    TimePoint now, const std::string& id,
+    const std::vector<routing::Endpoint>& endpoints) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can move");
   this->Release(now, found->second, Outcome::kFailed);
   this->Occupy(now, found->second, endpoints);
 }
 
-void AdmissionController::Finished(TimePoint now, const std::string& id, Outcome outcome,
-                    double output_tokens) {
+void AdmissionController::Finished(TimePoint now, const std::string& id,
+                                   Outcome outcome, double output_tokens) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can finish");
   Known& known = found->second;
@@ -189,8 +194,9 @@
   this->requests.erase(found);
 }
 
-bool AdmissionController::Requeue(TimePoint now, const std::string& id, Outcome outcome,
-                   TryOutcome before, bool idempotent) {
+bool AdmissionController::Requeue(TimePoint now, const std::string& id,
+                                  Outcome outcome, TryOutcome before,
+                                  bool idempotent) {
   const auto found = this->requests.find(id);
   assert(found != this->requests.end() && "only what was offered can return");
   if (!this->retries.TakeRetry(now, before, idempotent)) return false;
@@ -234,8 +240,9 @@
   if (part) this->limiter.SetPartOfPool(*part);
 }
 
-Duration AdmissionController::RetryAfter(TimePoint now, std::string_view customer,
-                          Duration allowed) {
+Duration AdmissionController::RetryAfter(TimePoint now,
+                                         std::string_view customer,
+                                         Duration allowed) {
   const CustomerNumber number = this->queue.SharesOf().NumberOf(customer);
   const Duration wait =
       this->queue.ExpectedWait(now, number, 0).value_or(Duration{0});
@@ -290,8 +297,9 @@
   return Dispatch{known.ticket.id, endpoints, work};
 }
 
-void AdmissionController::Occupy(TimePoint now, Known& known,
-                  const std::vector<routing::Endpoint>& endpoints) {
+void AdmissionController::Occupy(
+    TimePoint now, Known& known,
+    const std::vector<routing::Endpoint>& endpoints) {
   known.endpoints.clear();
   for (const routing::Endpoint endpoint : endpoints) {
     // A planner may use an endpoint that has just left the pool.
@@ -302,7 +310,8 @@
   }
 }
 
-void AdmissionController::Release(TimePoint now, Known& known, Outcome outcome) {
+void AdmissionController::Release(TimePoint now, Known& known,
+                                  Outcome outcome) {
   for (const routing::Endpoint endpoint : known.endpoints) {
     this->loads.Finished(now, endpoint, known.work);
     this->limiter.Finished(endpoint, known.work.KvTokens());
@@ -312,7 +321,8 @@
   known.endpoints.clear();
 }
 
-void AdmissionController::Observe(TimePoint now, const Known& known, double output_tokens) {
+void AdmissionController::Observe(TimePoint now, const Known& known,
+                                  double output_tokens) {
   routing::Work work = known.work;
   work.output_tokens = output_tokens;
   Duration expected{0};
@@ -330,7 +340,8 @@
   return index < this->is_member.size() && this->is_member[index];
 }
 
-std::optional<routing::CachedAt> AdmissionController::Cached(const Request& request) const {
+std::optional<routing::CachedAt> AdmissionController::Cached(
+    const Request& request) const {
   if (request.prefixes.empty()) return std::nullopt;
   return this->prefixes.Find(
       request.prefixes,
--- a/lib/admission/drain_meter.cc
+++ b/lib/admission/drain_meter.cc
@@ -12,7 +12,8 @@
 /// Time over which an older sample fades. A sample weighs by its length, so
 /// that a stall of seconds shows at its end. Two seconds hold some turns of the
 /// slots; at 0.7 s, requests that end in step made the rate swing, and an
-/// eighth of what was let in lapsed while it waited (admission_controller_test.cc).
+/// eighth of what was let in lapsed while it waited
+/// (admission_controller_test.cc).
 constexpr double kFadeSeconds = 2.0;
 
 }  // namespace
--- a/lib/admission/shares.cc
+++ b/lib/admission/shares.cc
@@ -94,7 +94,8 @@
   return usage;
 }
 
-void Shares::MergePeerUsage(TimePoint now, const std::string& peer, const Usage& usage) {
+void Shares::MergePeerUsage(TimePoint now, const std::string& peer,
+                            const Usage& usage) {
   Peer& from = this->peers[peer];
   const double past = std::max(Seconds(now - from.heard), 1e-3);
   for (const auto& [name, served] : usage.served) {
--- a/lib/attempts/attempt_policy.cc
+++ b/lib/attempts/attempt_policy.cc
@@ -9,15 +9,16 @@
 
 }  // namespace
 
-bool MayRetry(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end) {
+bool MayRetry(const routes::Route& route, const AttemptCounts& tries,
+              AttemptOutcome end) {
   if (tries.total >= route.max_attempts + kMostNotRunTries) return false;
   if (tries.may_have_run >= route.max_attempts) return false;
   return tries.may_have_run == 0 ? SurelyNotRun(end) || route.Repeatable()
                                  : route.Repeatable();
 }
 
-NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries, AttemptOutcome end,
-               bool budget_left) {
+NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries,
+                       AttemptOutcome end, bool budget_left) {
   if (budget_left && MayRetry(route, tries, end)) return NextStep::kRetry;
   if (tries.answer_started) return NextStep::kAbort;
   if (end == AttemptOutcome::kFailed) return NextStep::kRelayFailure;
--- a/lib/daemon/answer_admission.cc
+++ b/lib/daemon/answer_admission.cc
@@ -74,8 +74,9 @@
 
 }  // namespace
 
-AnswerAdmission::AnswerAdmission(transport::EventLoop& loop, Directory& directory,
-                       Metrics& metrics, std::uint64_t seed)
+AnswerAdmission::AnswerAdmission(transport::EventLoop& loop,
+                                 Directory& directory, Metrics& metrics,
+                                 std::uint64_t seed)
     : loop(loop),
       directory(directory),
       metrics(metrics),
@@ -97,7 +98,8 @@
 }
 
 void AnswerAdmission::Offer(const pipeline::AnswerRequest& request,
-                       const std::string& customer, AdmissionHandlers handlers) {
+                            const std::string& customer,
+                            AdmissionHandlers handlers) {
   assert(!this->offers.contains(request.id) && "ids are unique");
   const PoolKey key{request.model.model, request.model.version};
   admission::Request offered;
@@ -120,7 +122,8 @@
   this->Pump(key);
 }
 
-Result<pipeline::Plan> AnswerAdmission::Replan(const pipeline::PlanQuery& query) {
+Result<pipeline::Plan> AnswerAdmission::Replan(
+    const pipeline::PlanQuery& query) {
   Pool& pool = this->PoolOf({query.model.model, query.model.version});
   CorrectedWait score;
   score.gate = &pool.gate;
@@ -134,7 +137,8 @@
   return this->directory.Engines().Choose(query, this->random);
 }
 
-void AnswerAdmission::RecordPlan(const std::string& id, const pipeline::Plan& plan) {
+void AnswerAdmission::RecordPlan(const std::string& id,
+                                 const pipeline::Plan& plan) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end() || held->second.waiting) return;
   if (held->second.plan == plan) return;
@@ -144,7 +148,7 @@
 }
 
 void AnswerAdmission::RecordEndpointRefusal(const std::string& id,
-                              const std::string& endpoint) {
+                                            const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
   admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
@@ -152,7 +156,7 @@
 }
 
 void AnswerAdmission::RecordEndpointFailure(const std::string& id,
-                                const std::string& endpoint) {
+                                            const std::string& endpoint) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
   admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
@@ -162,7 +166,7 @@
 }
 
 void AnswerAdmission::RecordEnd(const std::string& id, bool whole,
-                          std::uint32_t tokens) {
+                                std::uint32_t tokens) {
   const auto held = this->offers.find(id);
   if (held == this->offers.end()) return;
   const PoolKey key = held->second.pool;
@@ -208,7 +212,7 @@
 }
 
 void AnswerAdmission::TakeStatus(const pipeline::EndpointView& view,
-                            std::uint32_t slots) {
+                                 std::uint32_t slots) {
   const PoolKey key{view.model, view.version};
   const auto before = this->pool_of_engine.find(view.id);
   const bool moved =
@@ -268,7 +272,8 @@
 
 void AnswerAdmission::Tick() {
   std::uint32_t routers = 0;
-  for (const Instance& instance : this->directory.InstancesWithRole(Role::kRouter)) {
+  for (const Instance& instance :
+       this->directory.InstancesWithRole(Role::kRouter)) {
     if (!instance.leaving) ++routers;
   }
   for (auto& [key, pool] : this->pools) {
--- a/lib/daemon/answer_runner.cc
+++ b/lib/daemon/answer_runner.cc
@@ -254,7 +254,7 @@
   run->stream = 0;
   if (IsRefusal(outcome) && run->plan) {
     this->gate.RecordEndpointRefusal(run->job.request.id,
-                            run->plan->stages.front().endpoint);
+                                     run->plan->stages.front().endpoint);
   }
   this->Feed(run, EndEvent(attempt, outcome));
 }
@@ -332,7 +332,8 @@
       wait, [this, run] { this->Feed(run, pipeline::TimerFired{}); });
 }
 
-void AnswerRunner::Perform(const Run& run, const pipeline::RecordRecovery& action) {
+void AnswerRunner::Perform(const Run& run,
+                           const pipeline::RecordRecovery& action) {
   this->Note(timeline::EventKind::kAnswerResumed, run, "",
              absl::StrCat("noticed in ", action.detection.count(),
                           " us, replanned in ", action.replanning.count(),
--- a/lib/daemon/entry_advice_provider.cc
+++ b/lib/daemon/entry_advice_provider.cc
@@ -22,8 +22,9 @@
 
 }  // namespace
 
-EntryAdviceProvider::EntryAdviceProvider(const Directory& directory, const settings::Settings& settings,
-                 std::uint64_t seed)
+EntryAdviceProvider::EntryAdviceProvider(const Directory& directory,
+                                         const settings::Settings& settings,
+                                         std::uint64_t seed)
     : directory(directory),
       settings(settings),
       advisor(AdviceOf(settings)),
@@ -54,7 +55,8 @@
 
 std::vector<routing::EntryInstance> EntryAdviceProvider::Instances() const {
   std::vector<routing::EntryInstance> instances;
-  for (const Instance& listed : this->directory.InstancesWithRole(Role::kRouter)) {
+  for (const Instance& listed :
+       this->directory.InstancesWithRole(Role::kRouter)) {
     if (listed.id == this->settings.instance) continue;
     if (this->is_gone && this->is_gone(listed.id)) continue;
     routing::EntryInstance instance;
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -26,7 +26,8 @@
 FleetSync::FleetSync(transport::EventLoop& loop,
                      const settings::Settings& settings,
                      const Directory& directory, Metrics& metrics,
-                     ConfigCallbacks config, AnswerSender answers, std::uint64_t seed)
+                     ConfigCallbacks config, AnswerSender answers,
+                     std::uint64_t seed)
     : loop(loop),
       settings(settings),
       directory(directory),
@@ -43,7 +44,8 @@
 
 void FleetSync::Tick() {
   std::vector<membership::Seed> seeds;
-  for (const Instance& instance : this->directory.InstancesWithRole(Role::kRouter)) {
+  for (const Instance& instance :
+       this->directory.InstancesWithRole(Role::kRouter)) {
     if (instance.peer_address.empty()) continue;
     seeds.push_back({instance.id, instance.peer_address});
   }
--- a/lib/daemon/router.cc
+++ b/lib/daemon/router.cc
@@ -63,7 +63,8 @@
                this->incarnation),
         journal(this->loop, this->platform, this->incarnation),
         fleet(this->loop, this->settings, this->directory, this->metrics,
-              this->MakeConfigCallbacks(), this->MakeAnswerSender(), this->seed),
+              this->MakeConfigCallbacks(), this->MakeAnswerSender(),
+              this->seed),
         gate(this->loop, this->directory, this->metrics, this->seed),
         runner(this->loop, this->client, this->gate, this->metrics,
                this->events),
@@ -125,7 +126,8 @@
   void ConnectConfig() {
     this->config.SetLiveRouters([this] {
       std::vector<std::string> ids;
-      for (const Instance& router : this->directory.InstancesWithRole(Role::kRouter)) {
+      for (const Instance& router :
+           this->directory.InstancesWithRole(Role::kRouter)) {
         ids.push_back(router.id);
       }
       return ids;
--- a/lib/daemon/service_runner.cc
+++ b/lib/daemon/service_runner.cc
@@ -121,8 +121,8 @@
 
 ServiceRunner::ServiceRunner(transport::HttpClient& client,
                              Directory& directory,
-                             platform::IdempotencyJournal& journal, Metrics& metrics,
-                             std::uint64_t seed)
+                             platform::IdempotencyJournal& journal,
+                             Metrics& metrics, std::uint64_t seed)
     : client(client),
       directory(directory),
       journal(journal),
--- a/lib/endpoints/endpoint_table.cc
+++ b/lib/endpoints/endpoint_table.cc
@@ -106,8 +106,8 @@
     into.push_back(one);
   }
   list.retained_for = this->OutageGoesOn()
-                      ? this->outage_grace
-                      : std::max(Duration(0), this->kept_until - now);
+                          ? this->outage_grace
+                          : std::max(Duration(0), this->kept_until - now);
   list.revision = this->changed_revision;
   return list;
 }
--- a/lib/endpoints/load_tracker.cc
+++ b/lib/endpoints/load_tracker.cc
@@ -71,7 +71,8 @@
   }
 }
 
-void LoadTracker::SetFleetLoads(const std::vector<gossip::EndpointLoad>& loads) {
+void LoadTracker::SetFleetLoads(
+    const std::vector<gossip::EndpointLoad>& loads) {
   this->SetPeerLoads(loads);
   for (auto& [endpoint, sum] : this->peers) {
     const auto mine = this->own.find(endpoint);
@@ -108,14 +109,15 @@
     others.answers = std::max(others.answers, alike * own_part.answers);
     others.token_layers =
         std::max(others.token_layers, alike * own_part.token_layers);
-    others.first_stage_answers = std::max(others.first_stage_answers, alike * own_part.first_stage_answers);
+    others.first_stage_answers = std::max(others.first_stage_answers,
+                                          alike * own_part.first_stage_answers);
   }
   Add(sum, others, 1);
   return sum;
 }
 
 void LoadTracker::OnRefusal(const std::string& endpoint, bool full,
-                         TimePoint now) {
+                            TimePoint now) {
   if (full) {
     this->full_until[endpoint] = now + kFullPause;
     return;
@@ -134,15 +136,15 @@
 }
 
 bool LoadTracker::MarkUnresponsive(const std::string& endpoint, TimePoint until,
-                           TimePoint now) {
+                                   TimePoint now) {
   const bool news = !this->IsUnresponsive(endpoint, now);
   Prolong(this->silent_until, endpoint, until);
   Prolong(this->found_silent_until, endpoint, until);
   return news;
 }
 
-bool LoadTracker::MarkReportedUnresponsive(const std::string& endpoint, TimePoint until,
-                           TimePoint now) {
+bool LoadTracker::MarkReportedUnresponsive(const std::string& endpoint,
+                                           TimePoint until, TimePoint now) {
   const auto answered = this->answered_at.find(endpoint);
   const bool contradicted = answered != this->answered_at.end() &&
                             now - answered->second < kOwnWordHolds;
@@ -152,7 +154,8 @@
   return news;
 }
 
-bool LoadTracker::IsUnresponsive(const std::string& endpoint, TimePoint now) const {
+bool LoadTracker::IsUnresponsive(const std::string& endpoint,
+                                 TimePoint now) const {
   return Holds(this->silent_until, endpoint, now);
 }
 
@@ -162,13 +165,15 @@
   this->found_silent_until.erase(endpoint);
 }
 
-bool LoadTracker::IsSuspected(const std::string& endpoint, TimePoint now) const {
+bool LoadTracker::IsSuspected(const std::string& endpoint,
+                              TimePoint now) const {
   return Holds(this->full_until, endpoint, now) ||
-         Holds(this->suspected, endpoint, now) || this->IsUnresponsive(endpoint, now);
+         Holds(this->suspected, endpoint, now) ||
+         this->IsUnresponsive(endpoint, now);
 }
 
 std::vector<gossip::Suspicion> LoadTracker::Suspicions(TimePoint now,
-                                                    bool heard_too) const {
+                                                       bool heard_too) const {
   std::vector<gossip::Suspicion> holding;
   for (const auto& [endpoint, until] : this->suspected) {
     if (now < until) holding.push_back({endpoint, until - now, false});
@@ -181,21 +186,23 @@
   return holding;
 }
 
-void LoadTracker::SetEngineStatus(const gossip::EngineStatus& fact, TimePoint until) {
+void LoadTracker::SetEngineStatus(const gossip::EngineStatus& fact,
+                                  TimePoint until) {
   this->facts[fact.endpoint] = TimedFact{fact, until};
 }
 
-const gossip::EngineStatus* LoadTracker::FindEngineStatus(const Endpoint& endpoint,
-                                         TimePoint now) const {
+const gossip::EngineStatus* LoadTracker::FindEngineStatus(
+    const Endpoint& endpoint, TimePoint now) const {
   const auto found = this->facts.find(endpoint.id);
   if (found == this->facts.end()) return nullptr;
   const TimedFact& known = found->second;
-  const bool counts = now < known.until && known.fact.start_time_ms == endpoint.start_time_ms;
+  const bool counts =
+      now < known.until && known.fact.start_time_ms == endpoint.start_time_ms;
   return counts ? &known.fact : nullptr;
 }
 
 placement::Engine LoadTracker::ToEngine(const Endpoint& endpoint,
-                                     TimePoint now) const {
+                                        TimePoint now) const {
   placement::Engine engine;
   engine.id = endpoint.id;
   engine.address = endpoint.address;
@@ -206,7 +213,8 @@
   engine.answers = load.answers;
   engine.token_layers = load.token_layers;
   engine.first_stage_answers = load.first_stage_answers;
-  if (const gossip::EngineStatus* fact = this->FindEngineStatus(endpoint, now)) {
+  if (const gossip::EngineStatus* fact =
+          this->FindEngineStatus(endpoint, now)) {
     engine.layers = fact->layers;
     engine.slowdown = fact->slowdown;
     engine.token_layers = std::max(engine.token_layers, fact->token_layers);
--- a/lib/gossip/backup_leaders.cc
+++ b/lib/gossip/backup_leaders.cc
@@ -7,10 +7,11 @@
 
 namespace toucanwharf::gossip {
 
-std::vector<std::string> ChooseBackupLeaders(std::vector<BackupLeaderCandidate> candidates,
-                                        const std::string& domain) {
+std::vector<std::string> ChooseBackupLeaders(
+    std::vector<BackupLeaderCandidate> candidates, const std::string& domain) {
   std::sort(candidates.begin(), candidates.end(),
-            [](const BackupLeaderCandidate& left, const BackupLeaderCandidate& right) {
+            [](const BackupLeaderCandidate& left,
+               const BackupLeaderCandidate& right) {
               return std::tie(right.processor_share, left.address) <
                      std::tie(left.processor_share, right.address);
             });
@@ -30,8 +31,8 @@
 }
 
 std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
-                                        const std::string& domain,
-                                        TimePoint now) {
+                                             const std::string& domain,
+                                             TimePoint now) {
   std::vector<BackupLeaderCandidate> candidates;
   for (const std::string& address : peers.Addresses(now)) {
     const Peer* peer = peers.Live(address, now);
@@ -46,8 +47,8 @@
                    const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now) {
   if (!peers.Leader(now).empty()) return false;
-  const auto first =
-      std::find_if(backup_leaders.begin(), backup_leaders.end(), [&](const auto& one) {
+  const auto first = std::find_if(
+      backup_leaders.begin(), backup_leaders.end(), [&](const auto& one) {
         return one == own || peers.Live(one, now) != nullptr;
       });
   return first != backup_leaders.end() && *first == own;
--- a/lib/gossip/beacon.cc
+++ b/lib/gossip/beacon.cc
@@ -34,7 +34,8 @@
   Json list = Json::array();
   for (const EndpointLoad& load : loads) {
     list.push_back({load.endpoint, Rounded(load.answers),
-                    Rounded(load.token_layers), Rounded(load.first_stage_answers)});
+                    Rounded(load.token_layers),
+                    Rounded(load.first_stage_answers)});
   }
   return list;
 }
@@ -134,7 +135,7 @@
   beacon.stamp = json.at("t").get<std::int64_t>();
   beacon.loads = LoadsOf(json.at("o"));
   beacon.covered_keys = {json.at("kr").at(0).get<std::uint32_t>(),
-                  json.at("kr").at(1).get<std::uint32_t>()};
+                         json.at("kr").at(1).get<std::uint32_t>()};
   beacon.fleet_loads = KeyedLoadsOf(json.at("fo"));
   beacon.suspicions = SuspicionsOf(json.at("q"));
   beacon.engine_statuses = FactsOf(json.at("f"));
@@ -172,29 +173,30 @@
 }
 
 EncodedBeacon::EncodedBeacon(const Beacon& beacon) {
-  const Json json = {{"format", kFormat},
-                     {"i", beacon.instance},
-                     {"u", beacon.uptime.count()},
-                     {"d", beacon.failure_domain},
-                     {"a", beacon.callers_address},
-                     {"b", beacon.control_address},
-                     {"c", beacon.processor_share},
-                     {"r", beacon.ready},
-                     {"s", beacon.stopping},
-                     {"l", beacon.leads},
-                     {"v", beacon.configuration_revision},
-                     {"va", AgeOrNull(beacon.configuration_age)},
-                     {"e", beacon.endpoints_revision},
-                     {"ea", AgeOrNull(beacon.endpoints_age)},
-                     {"t", beacon.stamp},
-                     {"o", LoadsToJson(beacon.loads)},
-                     {"kr", {beacon.covered_keys.first, beacon.covered_keys.last}},
-                     {"fo", KeyedLoadsToJson(beacon.fleet_loads)},
-                     {"q", SuspicionsToJson(beacon.suspicions)},
-                     {"f", FactsToJson(beacon.engine_statuses)},
-                     {"ri", beacon.ready_instances},
-                     {"dp", beacon.backup_leaders},
-                     {"p", beacon.peers}};
+  const Json json = {
+      {"format", kFormat},
+      {"i", beacon.instance},
+      {"u", beacon.uptime.count()},
+      {"d", beacon.failure_domain},
+      {"a", beacon.callers_address},
+      {"b", beacon.control_address},
+      {"c", beacon.processor_share},
+      {"r", beacon.ready},
+      {"s", beacon.stopping},
+      {"l", beacon.leads},
+      {"v", beacon.configuration_revision},
+      {"va", AgeOrNull(beacon.configuration_age)},
+      {"e", beacon.endpoints_revision},
+      {"ea", AgeOrNull(beacon.endpoints_age)},
+      {"t", beacon.stamp},
+      {"o", LoadsToJson(beacon.loads)},
+      {"kr", {beacon.covered_keys.first, beacon.covered_keys.last}},
+      {"fo", KeyedLoadsToJson(beacon.fleet_loads)},
+      {"q", SuspicionsToJson(beacon.suspicions)},
+      {"f", FactsToJson(beacon.engine_statuses)},
+      {"ri", beacon.ready_instances},
+      {"dp", beacon.backup_leaders},
+      {"p", beacon.peers}};
   Json::to_cbor(json, nlohmann::detail::output_adapter<char>(this->common));
 }
 
--- a/lib/gossip/fleet_loads.cc
+++ b/lib/gossip/fleet_loads.cc
@@ -3,7 +3,7 @@
 namespace toucanwharf::gossip {
 
 void FleetLoads::Update(const KeyRange& about,
-                      const std::vector<KeyedLoad>& loads) {
+                        const std::vector<KeyedLoad>& loads) {
   this->by_key.erase(this->by_key.lower_bound(about.first),
                      this->by_key.upper_bound(about.last));
   for (const KeyedLoad& load : loads) {
--- a/lib/gossip/initial_read_policy.cc
+++ b/lib/gossip/initial_read_policy.cc
@@ -5,10 +5,11 @@
 namespace toucanwharf::gossip {
 
 bool InitialReadPolicy::MayRead(const std::optional<std::size_t>& instances,
-                        TimePoint now) const {
+                                TimePoint now) const {
   if (this->strong) return true;
   const std::size_t count = instances.value_or(0);
-  const bool few = instances && count <= 1 + BeaconScheduleSettings().everyone_up_to;
+  const bool few =
+      instances && count <= 1 + BeaconScheduleSettings().everyone_up_to;
   if (few) return true;
   const Duration turns = this->settings.turn * static_cast<std::int64_t>(count);
   const Duration turn(static_cast<std::int64_t>(
--- a/lib/gossip/peer_table.cc
+++ b/lib/gossip/peer_table.cc
@@ -37,13 +37,13 @@
 }
 
 std::vector<std::string> PeerTable::AddressesInDomain(const std::string& domain,
-                                                  TimePoint now) const {
+                                                      TimePoint now) const {
   return this->AddressesOf(
       now, [&](const Entry& entry) { return MayBeIn(entry, domain); });
 }
 
-std::vector<std::string> PeerTable::AddressesInOtherDomains(const std::string& domain,
-                                                 TimePoint now) const {
+std::vector<std::string> PeerTable::AddressesInOtherDomains(
+    const std::string& domain, TimePoint now) const {
   return this->AddressesOf(
       now, [&](const Entry& entry) { return !MayBeIn(entry, domain); });
 }
@@ -52,7 +52,8 @@
   const auto found = this->entries.find(address);
   if (found == this->entries.end() || !found->second.peer) return nullptr;
   const Peer& peer = *found->second.peer;
-  return now - peer.last_beacon_at > this->settings.silent_after ? nullptr : &peer;
+  return now - peer.last_beacon_at > this->settings.silent_after ? nullptr
+                                                                 : &peer;
 }
 
 std::vector<const Peer*> PeerTable::AllLive(TimePoint now) const {
@@ -87,16 +88,19 @@
     const auto found = this->entries.find(address);
     if (found == this->entries.end() || !found->second.peer) continue;
     const Peer& peer = *found->second.peer;
-    if (now - peer.last_beacon_at > this->settings.leader_silent_after) continue;
+    if (now - peer.last_beacon_at > this->settings.leader_silent_after)
+      continue;
     if (!peer.beacon.configuration_age) continue;
-    const Duration age = *peer.beacon.configuration_age + (now - peer.last_beacon_at);
+    const Duration age =
+        *peer.beacon.configuration_age + (now - peer.last_beacon_at);
     newest = std::min(newest.value_or(age), age);
   }
   return newest;
 }
 
-std::size_t PeerTable::CandidatesAhead(double share, const std::string& callers_address,
-                             TimePoint now) const {
+std::size_t PeerTable::CandidatesAhead(double share,
+                                       const std::string& callers_address,
+                                       TimePoint now) const {
   const auto live = this->AllLive(now);
   const auto ahead =
       std::count_if(live.begin(), live.end(), [&](const Peer* peer) {
@@ -124,7 +128,8 @@
     if (!this->Counts(entry, now)) continue;
     const Peer* peer = this->Live(address, now);
     const bool older =
-        peer != nullptr && peer->beacon.uptime + (now - peer->last_beacon_at) >= lately;
+        peer != nullptr &&
+        peer->beacon.uptime + (now - peer->last_beacon_at) >= lately;
     if (!older) ++count;
   }
   return count;
@@ -151,8 +156,8 @@
 
 }  // namespace
 
-std::optional<TimePoint> PeerTable::ConfigurationConfirmedAt(std::uint64_t revision,
-                                                         TimePoint now) const {
+std::optional<TimePoint> PeerTable::ConfigurationConfirmedAt(
+    std::uint64_t revision, TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
     const Beacon& beacon = peer->beacon;
@@ -163,7 +168,7 @@
 }
 
 std::optional<TimePoint> PeerTable::EndpointsConfirmedAt(std::uint64_t revision,
-                                                     TimePoint now) const {
+                                                         TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
     const Beacon& beacon = peer->beacon;
--- a/lib/gossip/ready_instance_list.cc
+++ b/lib/gossip/ready_instance_list.cc
@@ -24,7 +24,8 @@
   return std::string(text.data()) + ":" + port;
 }
 
-void ReadyInstanceList::Update(const std::vector<std::uint32_t>& told, TimePoint now) {
+void ReadyInstanceList::Update(const std::vector<std::uint32_t>& told,
+                               TimePoint now) {
   if (told.empty()) return;
   this->ready = told;
   this->taken = now;
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -151,7 +151,8 @@
   admitted.deadline =
       arrived +
       DeadlineOf(request.headers.Get(this->names.deadline), route.timeout);
-  std::make_shared<ProxiedRequest>(*this, std::move(exchange), std::move(admitted))
+  std::make_shared<ProxiedRequest>(*this, std::move(exchange),
+                                   std::move(admitted))
       ->Start();
 }
 
@@ -196,7 +197,8 @@
 void Gateway::RerouteAround(const std::string& endpoint) {
   // Leading one around may end it, and others with it.
   std::vector<std::shared_ptr<ProxiedRequest>> all;
-  for (ProxiedRequest* one : this->passages) all.push_back(one->shared_from_this());
+  for (ProxiedRequest* one : this->passages)
+    all.push_back(one->shared_from_this());
   for (const auto& one : all) one->OnEngineSilent(endpoint);
 }
 
--- a/lib/instance/instance_state.cc
+++ b/lib/instance/instance_state.cc
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-InstanceState::InstanceState(const InstanceSettings& settings, std::string instance_id)
+InstanceState::InstanceState(const InstanceSettings& settings,
+                             std::string instance_id)
     : instance(std::move(instance_id)),
       freshness(settings.bounds.revocation, kRevocationMargin),
       endpoints(kOutageGrace,
@@ -54,8 +55,9 @@
     const gossip::Peer* peer = this->peers.Live(
         gossip::AddressOf(number, gossip::PortOf(datagrams)), now);
     // One that has just said that it stops is still in the leader's last word.
-    const bool says_not = peer != nullptr && !peer->beacon.ready &&
-                          now - peer->last_beacon_at <= gossip::ReadyInstanceList::kMaxAge;
+    const bool says_not =
+        peer != nullptr && !peer->beacon.ready &&
+        now - peer->last_beacon_at <= gossip::ReadyInstanceList::kMaxAge;
     if (says_not) continue;
     addresses.push_back(gossip::AddressOf(number, gossip::PortOf(callers)));
   }
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -93,7 +93,8 @@
   const bool wanted = this->state.peers.IsLargeFleet(this->loop.Now()) &&
                       this->state.backup_leaders.empty();
   if (!wanted) return;
-  this->SetBackupLeaders(gossip::ChooseBackupLeaders(std::move(candidates), ""));
+  this->SetBackupLeaders(
+      gossip::ChooseBackupLeaders(std::move(candidates), ""));
 }
 
 void PeerLink::SetBackupLeaders(std::vector<std::string> addresses) {
@@ -113,8 +114,8 @@
   if (coordinator && !this->coordinator_since) this->coordinator_since = now;
   const bool led = leads || !large || this->state.ready_list.IsCurrent(now) ||
                    !this->state.peers.Leader(now).empty();
-  this->state.loads.AssumeEqualPeerLoad(led ? 0
-                                      : this->state.peers.InstanceCount(now) - 1);
+  this->state.loads.AssumeEqualPeerLoad(
+      led ? 0 : this->state.peers.InstanceCount(now) - 1);
   const std::size_t near =
       this->state.peers.AddressesInDomain(this->settings.failure_domain, now)
           .size();
@@ -135,8 +136,10 @@
 gossip::BeaconTargets PeerLink::MakeAudience(TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
   gossip::BeaconTargets audience;
-  audience.same_domain = peers.AddressesInDomain(this->settings.failure_domain, now);
-  audience.other_domains = peers.AddressesInOtherDomains(this->settings.failure_domain, now);
+  audience.same_domain =
+      peers.AddressesInDomain(this->settings.failure_domain, now);
+  audience.other_domains =
+      peers.AddressesInOtherDomains(this->settings.failure_domain, now);
   audience.leader = peers.Leader(now);
   audience.backup_leaders = this->OtherBackupLeaders(audience.leader);
   audience.is_coordinator = this->state.leads || this->state.is_backup_leader;
@@ -177,7 +180,8 @@
 }
 
 bool PeerLink::HearsAll(TimePoint now) const {
-  return this->coordinator_since && now - *this->coordinator_since >= kAllHeardAfter;
+  return this->coordinator_since &&
+         now - *this->coordinator_since >= kAllHeardAfter;
 }
 
 void PeerLink::Announce() {
@@ -212,8 +216,8 @@
 void PeerLink::AnnounceSilentEngine() {
   const TimePoint now = this->loop.Now();
   const std::string leader = this->state.peers.Leader(now);
-  const bool by_leader =
-      this->state.peers.IsLargeFleet(now) && !this->state.leads && !leader.empty();
+  const bool by_leader = this->state.peers.IsLargeFleet(now) &&
+                         !this->state.leads && !leader.empty();
   if (by_leader) {
     this->SendTo({leader}, Content::kOwn);
   } else {
@@ -249,7 +253,8 @@
   for (const gossip::EngineStatus& fact : this->facts) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.Find(fact.endpoint);
-    if (endpoint == nullptr || endpoint->start_time_ms != fact.start_time_ms) continue;
+    if (endpoint == nullptr || endpoint->start_time_ms != fact.start_time_ms)
+      continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
     if (!this->about.Contains(key)) continue;
     beacon.engine_statuses.push_back(
@@ -265,7 +270,8 @@
     beacon.fleet_loads.push_back(
         {key, load.answers, load.token_layers, load.first_stage_answers});
   }
-  const bool tells_all = this->state.peers.IsLargeFleet(now) && this->HearsAll(now);
+  const bool tells_all =
+      this->state.peers.IsLargeFleet(now) && this->HearsAll(now);
   if (tells_all) beacon.ready_instances = this->ReadyInstances(now);
   if (tells_all && this->state.leads) {
     beacon.backup_leaders = gossip::ChooseBackupLeaders(
@@ -295,9 +301,9 @@
   const gossip::EncodedBeacon usual(beacon);
   const std::string leader = this->state.peers.Leader(now);
   const auto backup_leaders = this->OtherBackupLeaders(leader);
-  // In a large fleet only the leader and its backup leaders add up what the others
-  // have under way, and tell all of them the sum: the single loads are most of
-  // a beacon.
+  // In a large fleet only the leader and its backup leaders add up what the
+  // others have under way, and tell all of them the sum: the single loads are
+  // most of a beacon.
   gossip::Beacon brief = beacon;
   if (this->state.peers.IsLargeFleet(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
@@ -310,9 +316,9 @@
     const auto stamp = this->stamps.find(address);
     const Stamp last = stamp == this->stamps.end() ? Stamp{} : stamp->second;
     const bool introduce = this->MayKnowNobody(address, now);
-    const bool to_hub =
-        address == leader ||
-        std::find(backup_leaders.begin(), backup_leaders.end(), address) != backup_leaders.end();
+    const bool to_hub = address == leader ||
+                        std::find(backup_leaders.begin(), backup_leaders.end(),
+                                  address) != backup_leaders.end();
     const gossip::EncodedBeacon& known_as = to_hub ? usual : to_followers;
     const std::string bytes =
         (introduce ? introducing : known_as).For(last.at, last.instance);
@@ -336,11 +342,12 @@
 bool PeerLink::MayKnowNobody(const std::string& address, TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
   return peers.IsLargeFleet(now) ? !peers.EverContacted(address)
-                          : peers.Live(address, now) == nullptr;
+                                 : peers.Live(address, now) == nullptr;
 }
 
 void PeerLink::LogPeers(TimePoint now) {
-  const bool hears_few = this->state.peers.IsLargeFleet(now) && !this->state.leads;
+  const bool hears_few =
+      this->state.peers.IsLargeFleet(now) && !this->state.leads;
   std::set<std::string> live;
   for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
     // Those of other failure domains are heard of about once a minute.
@@ -385,8 +392,8 @@
     this->AdoptSuspicion(one, now);
   }
   const bool large = this->state.peers.IsLargeFleet(now);
-  const bool speaks =
-      beacon.leads || !beacon.engine_statuses.empty() || !beacon.ready_instances.empty();
+  const bool speaks = beacon.leads || !beacon.engine_statuses.empty() ||
+                      !beacon.ready_instances.empty();
   if (speaks) this->AdoptFleet(beacon, now);
   if (!large) this->SumLoads(now);
   // Hundreds of beacons a second come to the leader of a large fleet, and to
@@ -401,21 +408,25 @@
 /// all lately.
 void PeerLink::AdoptFleet(const gossip::Beacon& beacon, TimePoint now) {
   // The turn of a part comes after that of all others.
-  const auto others = static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
+  const auto others =
+      static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
   const TimePoint facts_until =
       now + kFactsFor + this->rotation.CoordinatorPeriod() * others;
   for (const gossip::KeyedEngineStatus& fact : beacon.engine_statuses) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.FindByKey(fact.key);
     if (endpoint == nullptr) continue;
-    this->state.loads.SetEngineStatus({endpoint->id, endpoint->start_time_ms, fact.layers,
-                                 fact.slowdown, fact.token_layers},
-                                facts_until);
+    this->state.loads.SetEngineStatus(
+        {endpoint->id, endpoint->start_time_ms, fact.layers, fact.slowdown,
+         fact.token_layers},
+        facts_until);
   }
-  const bool follows = this->state.peers.IsLargeFleet(now) && !this->state.leads;
+  const bool follows =
+      this->state.peers.IsLargeFleet(now) && !this->state.leads;
   if (!follows) return;
   this->state.ready_list.Update(beacon.ready_instances, now);
-  if (!beacon.backup_leaders.empty()) this->SetBackupLeaders(beacon.backup_leaders);
+  if (!beacon.backup_leaders.empty())
+    this->SetBackupLeaders(beacon.backup_leaders);
   const std::string port = PortOf(this->settings.datagram_address);
   for (const std::uint32_t number : beacon.ready_instances) {
     this->state.peers.RecordLiveness(gossip::AddressOf(number, port), now);
@@ -431,8 +442,8 @@
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.FindByKey(load.key);
     if (endpoint == nullptr) continue;
-    loads.push_back(
-        {endpoint->id, load.answers, load.token_layers, load.first_stage_answers});
+    loads.push_back({endpoint->id, load.answers, load.token_layers,
+                     load.first_stage_answers});
   }
   this->state.loads.SetFleetLoads(loads);
 }
@@ -464,7 +475,8 @@
   if (!loads.MarkReportedUnresponsive(one.endpoint, until, now)) return;
   this->logger.Write(Level::kNotable, "peer_found_engine_silent",
                      Fields().Text("endpoint", one.endpoint), now);
-  if (this->state.leads && this->state.peers.IsLargeFleet(now)) this->Announce();
+  if (this->state.leads && this->state.peers.IsLargeFleet(now))
+    this->Announce();
   if (this->engine_silent) this->engine_silent(one.endpoint);
 }
 
--- a/lib/instance/proxied_request.cc
+++ b/lib/instance/proxied_request.cc
@@ -9,8 +9,8 @@
 namespace toucanwharf::instance {
 namespace {
 
-using attempts::NextStep;
 using attempts::AttemptOutcome;
+using attempts::NextStep;
 using eventlog::Fields;
 using eventlog::Level;
 
@@ -52,8 +52,9 @@
 
 }  // namespace
 
-ProxiedRequest::ProxiedRequest(Gateway& owner, std::shared_ptr<http::Exchange> caller,
-                 Admitted admitted)
+ProxiedRequest::ProxiedRequest(Gateway& owner,
+                               std::shared_ptr<http::Exchange> caller,
+                               Admitted admitted)
     : gateway(owner),
       exchange(std::move(caller)),
       what(std::move(admitted)),
@@ -127,8 +128,9 @@
     return;
   }
   if (!chosen) {
-    this->Refuse(this->lack == placement::NoPathReason::kNoCapacity ? "no_room"
-                                                          : "no_endpoint");
+    this->Refuse(this->lack == placement::NoPathReason::kNoCapacity
+                     ? "no_room"
+                     : "no_endpoint");
     return;
   }
   this->Send(*chosen);
@@ -259,13 +261,16 @@
     return;
   }
   if (result.end != http::CallEnd::kComplete) {
-    this->EndTry(result.sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent, "broken");
+    this->EndTry(
+        result.sent ? AttemptOutcome::kUnknown : AttemptOutcome::kNotSent,
+        "broken");
     return;
   }
   if (this->head_verdict) {
-    this->EndTry(*this->head_verdict, *this->head_verdict == AttemptOutcome::kNotRun
-                                          ? "refused_by_endpoint"
-                                          : "failed_at_endpoint");
+    this->EndTry(*this->head_verdict,
+                 *this->head_verdict == AttemptOutcome::kNotRun
+                     ? "refused_by_endpoint"
+                     : "failed_at_endpoint");
     return;
   }
   if (!this->tries.answer_started) {
@@ -297,7 +302,8 @@
 }
 
 /// Returns where to try again, if that is allowed and there is such a place.
-std::optional<ProxiedRequest::Target> ProxiedRequest::ChooseAgain(AttemptOutcome end) {
+std::optional<ProxiedRequest::Target> ProxiedRequest::ChooseAgain(
+    AttemptOutcome end) {
   const TimePoint now = this->gateway.loop.Now();
   if (now >= this->what.deadline) return std::nullopt;
   if (!attempts::MayRetry(*this->what.route, this->tries, end)) {
@@ -331,8 +337,7 @@
 
 void ProxiedRequest::NoteRefusal(const std::string& endpoint, bool full) {
   if (!this->gateway.settings.mechanisms.refusal_pauses) return;
-  this->gateway.state.loads.OnRefusal(endpoint, full,
-                                        this->gateway.loop.Now());
+  this->gateway.state.loads.OnRefusal(endpoint, full, this->gateway.loop.Now());
 }
 
 /// Ends the try under way and goes on with what the policy says.
@@ -342,7 +347,8 @@
   const TimePoint now = this->gateway.loop.Now();
   this->excluded.insert(this->target.endpoint);
   Fields fields;
-  const bool surely_not = end == AttemptOutcome::kNotSent || end == AttemptOutcome::kNotRun;
+  const bool surely_not =
+      end == AttemptOutcome::kNotSent || end == AttemptOutcome::kNotRun;
   if (surely_not) --this->tries.may_have_run;
   if (end == AttemptOutcome::kNotRun) {
     const std::string_view fault =
@@ -380,11 +386,11 @@
     return;
   }
   const auto next = this->ChooseAgain(end);
-  switch (
-      attempts::NextStepAfter(*this->what.route, this->tries, end, next.has_value())) {
+  switch (attempts::NextStepAfter(*this->what.route, this->tries, end,
+                                  next.has_value())) {
     case NextStep::kRetry:
       ++(this->tries.answer_started ? this->gateway.counters.resumed
-                                  : this->gateway.counters.retried);
+                                    : this->gateway.counters.retried);
       this->Send(*next);
       return;
     case NextStep::kRefuse:
@@ -503,7 +509,7 @@
 }
 
 void ProxiedRequest::Log(Level level, std::string_view event,
-                  const Fields& more) const {
+                         const Fields& more) const {
   Fields fields;
   fields.Text("request", this->request_id)
       .Text("route", this->what.route->name);
--- a/lib/instance/proxied_request.h
+++ b/lib/instance/proxied_request.h
@@ -42,14 +42,14 @@
 };
 
 /// One request on its way: tries endpoints, hands the answer back, and goes on
-/// elsewhere when an endpoint fails. proxied_request.cc has its life from the first try
-/// to the end, proxied_request_target.cc where a try goes and what is sent there,
-/// proxied_request_stall.cc what is done when an endpoint says nothing.
-/// Thread safety: only on the loop's thread.
+/// elsewhere when an endpoint fails. proxied_request.cc has its life from the
+/// first try to the end, proxied_request_target.cc where a try goes and what is
+/// sent there, proxied_request_stall.cc what is done when an endpoint says
+/// nothing. Thread safety: only on the loop's thread.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
  public:
   ProxiedRequest(Gateway& owner, std::shared_ptr<http::Exchange> caller,
-          Admitted what);
+                 Admitted what);
   ~ProxiedRequest();
   ProxiedRequest(const ProxiedRequest&) = delete;
   ProxiedRequest& operator=(const ProxiedRequest&) = delete;
--- a/lib/instance/proxied_request_stall.cc
+++ b/lib/instance/proxied_request_stall.cc
@@ -143,8 +143,8 @@
   if (!this->gateway.AsksWholePaths(now)) return;
   const TimePoint since =
       this->last_data + this->Patience() * kSignAfterPercent / kPercent;
-  auto doubted = endpoints::EnginesWithoutEvidence(this->target.stages, since,
-                                           this->gateway.SignsBeside(*this));
+  auto doubted = endpoints::EnginesWithoutEvidence(
+      this->target.stages, since, this->gateway.SignsBeside(*this));
   std::erase_if(doubted, [this](const pipeline::Stage& stage) {
     return stage.endpoint == this->target.endpoint;
   });
@@ -208,7 +208,7 @@
 
 bool ProxiedRequest::HasPlaceElsewhere() {
   return attempts::MayRetry(*this->what.route, this->tries,
-                               AttemptOutcome::kUnknown) &&
+                            AttemptOutcome::kUnknown) &&
          this->gateway.budget.HasExtra(this->what.service->name,
                                        this->gateway.loop.Now()) &&
          this->Choose().has_value();
@@ -252,8 +252,8 @@
               });
 }
 
-void ProxiedRequest::OnRepathed(const std::vector<pipeline::Stage>& stages, int status,
-                         const std::string& body) {
+void ProxiedRequest::OnRepathed(const std::vector<pipeline::Stage>& stages,
+                                int status, const std::string& body) {
   const TimePoint now = this->gateway.loop.Now();
   const std::string fault = this->gateway.calls.repath_fault(body);
   this->Log(Level::kNotable, "repathed",
@@ -279,7 +279,7 @@
 /// Tries another way around, without the engine that has no room or has lost
 /// its part, while the answer's caller still waits.
 void ProxiedRequest::OnRepathRefused(const std::vector<pipeline::Stage>& stages,
-                              const std::string& fault) {
+                                     const std::string& fault) {
   bool named = false;
   for (const pipeline::Stage& stage : stages) {
     if (stage.address != fault || stage.endpoint == this->target.endpoint) {
--- a/lib/instance/snapshot_exchange.cc
+++ b/lib/instance/snapshot_exchange.cc
@@ -45,10 +45,11 @@
 Json ToJson(const std::vector<endpoints::Endpoint>& all) {
   Json entries = Json::array();
   for (const endpoints::Endpoint& one : all) {
-    entries.push_back(
-        {one.id, one.start_time_ms, one.service, one.address, one.failure_domain,
-         one.slots, one.state == endpoints::EndpointState::kDraining, one.kind,
-         one.layers.begin, one.layers.end, one.sequence});
+    entries.push_back({one.id, one.start_time_ms, one.service, one.address,
+                       one.failure_domain, one.slots,
+                       one.state == endpoints::EndpointState::kDraining,
+                       one.kind, one.layers.begin, one.layers.end,
+                       one.sequence});
   }
   return entries;
 }
@@ -112,10 +113,12 @@
   }
 }
 
-SnapshotExchange::SnapshotExchange(http::Loop& event_loop, http::Client& http_client,
-                       InstanceState& shared_state, eventlog::Logger& log,
-                       EndpointListLog& list_log,
-                       std::string own_failure_domain)
+SnapshotExchange::SnapshotExchange(http::Loop& event_loop,
+                                   http::Client& http_client,
+                                   InstanceState& shared_state,
+                                   eventlog::Logger& log,
+                                   EndpointListLog& list_log,
+                                   std::string own_failure_domain)
     : loop(event_loop),
       client(http_client),
       state(shared_state),
@@ -125,7 +128,7 @@
       random(HashText(shared_state.instance)) {}
 
 void SnapshotExchange::Start(OnConfiguration on_configuration,
-                       OnEndpoints on_endpoints) {
+                             OnEndpoints on_endpoints) {
   this->take_configuration = std::move(on_configuration);
   this->endpoints_changed = std::move(on_endpoints);
 }
@@ -135,7 +138,8 @@
                                                   : kEndpointsPath);
 }
 
-std::uint64_t SnapshotExchange::RevisionIn(const gossip::Beacon& beacon, Kind kind) {
+std::uint64_t SnapshotExchange::RevisionIn(const gossip::Beacon& beacon,
+                                           Kind kind) {
   return kind == Kind::kConfiguration ? beacon.configuration_revision
                                       : beacon.endpoints_revision;
 }
@@ -181,9 +185,9 @@
               });
 }
 
-void SnapshotExchange::OnFetched(Wanted wanted, const std::string& source, int status,
-                           const http::ResponseHead& head,
-                           const std::string& body) {
+void SnapshotExchange::OnFetched(Wanted wanted, const std::string& source,
+                                 int status, const http::ResponseHead& head,
+                                 const std::string& body) {
   if (status == http::kOk && this->Take(wanted.kind, head, body)) {
     this->Fetching(wanted.kind) = false;
     return;
@@ -206,7 +210,7 @@
 }
 
 bool SnapshotExchange::Take(Kind kind, const http::ResponseHead& head,
-                      const std::string& body) {
+                            const std::string& body) {
   const auto text = TextOf(head, body);
   if (!text) return false;
   if (kind == Kind::kEndpoints) return this->TakeEndpoints(*text);
@@ -219,8 +223,7 @@
   if (!listed) return false;
   const TimePoint now = this->loop.Now();
   const bool new_list = this->state.endpoints.Adopt(std::move(*listed), now);
-  this->lists.OnList(this->state.endpoints, ListCause::kPeer, new_list, 0,
-                     now);
+  this->lists.OnList(this->state.endpoints, ListCause::kPeer, new_list, 0, now);
   if (new_list) this->endpoints_changed();
   return true;
 }
@@ -246,16 +249,18 @@
 }
 
 bool SnapshotExchange::Has(Kind kind) const {
-  return kind == Kind::kConfiguration ? this->state.table != nullptr
-                                      : this->state.endpoints.ChangedRevision() > 0;
+  return kind == Kind::kConfiguration
+             ? this->state.table != nullptr
+             : this->state.endpoints.ChangedRevision() > 0;
 }
 
 const SnapshotExchange::Copy& SnapshotExchange::Renewed(Kind kind) {
   const endpoints::EndpointTable& table = this->state.endpoints;
   const bool of_endpoints = kind == Kind::kEndpoints;
   Copy& copy = of_endpoints ? this->endpoints : this->configuration;
-  const std::uint64_t revision =
-      of_endpoints ? table.ChangedRevision() : this->state.configuration_revision;
+  const std::uint64_t revision = of_endpoints
+                                     ? table.ChangedRevision()
+                                     : this->state.configuration_revision;
   // While endpoints are kept the text tells for how much longer.
   const std::size_t kept = of_endpoints ? table.RetainedCount() : 0;
   if (copy.revision == revision && copy.kept == 0 && kept == 0) return copy;
--- a/lib/once/segment.cc
+++ b/lib/once/segment.cc
@@ -16,8 +16,8 @@
   entry.claim = TextMember(json, "claim");
   entry.digest = TextMember(json, "digest");
   const auto state = CountMember(json, "state");
-  const bool known =
-      state.has_value() && *state <= static_cast<unsigned>(KeyState::kOutcomeLost);
+  const bool known = state.has_value() &&
+                     *state <= static_cast<unsigned>(KeyState::kOutcomeLost);
   if (entry.key.empty() || entry.claim.empty() || !known) return std::nullopt;
   entry.state = static_cast<KeyState>(*state);
   entry.outcome.status =
--- a/lib/once/shard.cc
+++ b/lib/once/shard.cc
@@ -236,7 +236,8 @@
     return;
   }
   if (step != ConditionalWrite::Step::kConflict) return;
-  const std::optional<store::Object> obstacle = this->commit->write.ConflictingObject();
+  const std::optional<store::Object> obstacle =
+      this->commit->write.ConflictingObject();
   this->commit.reset();
   this->OnObstacle(written, obstacle);
 }
--- a/lib/once/shard_claims.cc
+++ b/lib/once/shard_claims.cc
@@ -10,7 +10,9 @@
 namespace toucanwharf::once {
 namespace {
 
-Refused Unknown(IdempotencyError reason) { return Refused{reason, Ran::kUnknown}; }
+Refused Unknown(IdempotencyError reason) {
+  return Refused{reason, Ran::kUnknown};
+}
 
 }  // namespace
 
@@ -23,8 +25,8 @@
       continue;
     }
     const IdempotencyError reason = this->Waits(request)
-                                 ? IdempotencyError::kInProgress
-                                 : IdempotencyError::kJournalUnreachable;
+                                        ? IdempotencyError::kInProgress
+                                        : IdempotencyError::kJournalUnreachable;
     this->decisions.push_back(Decision{request.claim, Unknown(reason)});
     if (!claim.tried) continue;
     // The claim may be in the journal, or land there later, and nobody will
@@ -39,7 +41,8 @@
                                     std::uint64_t wall_millis) const {
   const ShardView::Known* known = this->view.Find(request.key);
   if (known != nullptr) {
-    if (known->digest != request.digest) return Unknown(IdempotencyError::kKeyReused);
+    if (known->digest != request.digest)
+      return Unknown(IdempotencyError::kKeyReused);
     if (known->state == KeyState::kDone) return known->outcome;
     if (known->state == KeyState::kOutcomeLost) {
       return Unknown(IdempotencyError::kOutcomeLost);
@@ -51,12 +54,14 @@
   }
   const std::uint64_t latest =
       wall_millis + this->settings.clock_tolerance_millis;
-  if (request.key_millis > latest) return Unknown(IdempotencyError::kKeyMalformed);
+  if (request.key_millis > latest)
+    return Unknown(IdempotencyError::kKeyMalformed);
   // The key may have been in a segment that was overwritten since (I4).
   if (request.key_millis <= this->view.FloorMillis()) {
     return Unknown(IdempotencyError::kKeyTooOld);
   }
-  if (!this->HasRoom(wall_millis)) return Unknown(IdempotencyError::kJournalFull);
+  if (!this->HasRoom(wall_millis))
+    return Unknown(IdempotencyError::kJournalFull);
   return std::nullopt;
 }
 
--- a/lib/pipeline/answer_state_machine.cc
+++ b/lib/pipeline/answer_state_machine.cc
@@ -28,7 +28,7 @@
 }
 
 AnswerStateMachine::AnswerStateMachine(AnswerRequest answer_request,
-                             DeadlinePolicy deadline_policy)
+                                       DeadlinePolicy deadline_policy)
     : request(std::move(answer_request)), policy(deadline_policy) {
   assert(this->request.layers > 0 && "a model has at least one layer");
   assert(this->request.max_tokens > 0 && "an answer has at least one token");
@@ -144,7 +144,7 @@
   const Recovery& times = *this->recovery;
   step.actions.push_back(
       RecordRecovery{this->attempt, times.noticed - times.last_progress,
-                times.started - times.noticed, step.now - times.started});
+                     times.started - times.noticed, step.now - times.started});
   this->recovery.reset();
 }
 
@@ -362,7 +362,8 @@
   this->Arm(step, this->progress_deadline);
 }
 
-void AnswerStateMachine::StartOn(Step& step, const Plan& next_plan, bool fresh) {
+void AnswerStateMachine::StartOn(Step& step, const Plan& next_plan,
+                                 bool fresh) {
   StartAttempt start;
   start.attempt = this->attempt;
   start.plan = next_plan;
--- a/lib/placement/layout.cc
+++ b/lib/placement/layout.cc
@@ -434,7 +434,8 @@
 
 std::uint32_t LayersFor(const EngineModel& model, const AcceleratorKind& kind,
                         double answers) {
-  const double tokens = answers * (model.mean_prompt_tokens + model.mean_answer_tokens);
+  const double tokens =
+      answers * (model.mean_prompt_tokens + model.mean_answer_tokens);
   const double token_layer_mb = model.token_mb / model.layers;
   const double per_layer = model.layer_mb + tokens * token_layer_mb;
   if (per_layer <= 0) return 0;
--- a/lib/placement/order_tracker.cc
+++ b/lib/placement/order_tracker.cc
@@ -9,8 +9,8 @@
 
 }  // namespace
 
-void OrderTracker::OnReport(const std::string& engine, const EngineReport& report,
-                         TimePoint asked) {
+void OrderTracker::OnReport(const std::string& engine,
+                            const EngineReport& report, TimePoint asked) {
   Entry& entry = this->entries[engine];
   if (entry.sending || asked < entry.settled_after) return;
   entry.report = report;
@@ -18,7 +18,7 @@
 }
 
 std::optional<PlaceOrder> OrderTracker::Next(const std::string& engine,
-                                          TimePoint now) {
+                                             TimePoint now) {
   const auto wanted_layers = this->wanted.find(engine);
   const auto found = this->entries.find(engine);
   if (wanted_layers == this->wanted.end() || found == this->entries.end()) {
@@ -32,7 +32,8 @@
   return PlaceOrder{engine, wanted_layers->second, entry.report.sequence};
 }
 
-void OrderTracker::OnOutcome(const std::string& engine, OrderOutcome end, TimePoint now) {
+void OrderTracker::OnOutcome(const std::string& engine, OrderOutcome end,
+                             TimePoint now) {
   const auto found = this->entries.find(engine);
   if (found == this->entries.end()) return;
   Entry& entry = found->second;
--- a/lib/placement/path_finder.cc
+++ b/lib/placement/path_finder.cc
@@ -87,7 +87,8 @@
       const AcceleratorKind* kind = this->model.FindKind(engine.kind);
       if (kind == nullptr) continue;
       if (this->scope.need_room && this->model.slots > 0 &&
-          engine.layers.begin == 0 && engine.first_stage_answers >= this->model.slots) {
+          engine.layers.begin == 0 &&
+          engine.first_stage_answers >= this->model.slots) {
         continue;
       }
       this->used.push_back(at);
@@ -153,9 +154,9 @@
     rate.prompt_millis = this->query.prompt_tokens /
                          this->model.prefill_tokens_per_milli *
                          kind.prefill_factor * engine.slowdown / layers;
-    rate.whole_room =
-        std::max(1.0, TokenLayerCapacity(this->model, kind, engine.layers.Count()) *
-                          this->settings.capacity_share);
+    rate.whole_room = std::max(
+        1.0, TokenLayerCapacity(this->model, kind, engine.layers.Count()) *
+                 this->settings.capacity_share);
     // What the answer itself takes up there is free for it.
     rate.room = rate.whole_room - engine.token_layers +
                 this->Needed() * rate.held.Count();
@@ -312,7 +313,7 @@
 }  // namespace
 
 double TokenLayerCapacity(const EngineModel& model, const AcceleratorKind& kind,
-                      std::uint32_t held) {
+                          std::uint32_t held) {
   const double left = kind.memory_mb - model.layer_mb * held;
   if (left <= 0 || model.token_mb <= 0) return 0;
   return left / (model.token_mb / model.layers);
@@ -346,7 +347,8 @@
   if (choice.path) return choice;
   scope.need_room = false;
   const bool covered = search(scope).has_value();
-  choice.no_path_reason = covered ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
+  choice.no_path_reason =
+      covered ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
   if (covered || goes_around) return choice;
   // No failure domain holds all layers by itself.
   scope.may_cross = true;
@@ -357,7 +359,9 @@
     return choice;
   }
   scope.need_room = false;
-  choice.no_path_reason = search(scope).has_value() ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
+  choice.no_path_reason = search(scope).has_value()
+                              ? NoPathReason::kNoCapacity
+                              : NoPathReason::kMissingLayers;
   return choice;
 }
 
--- a/lib/placement/stabilization_window.cc
+++ b/lib/placement/stabilization_window.cc
@@ -4,7 +4,8 @@
 
 namespace toucanwharf::placement {
 
-bool StabilizationWindow::IsStable(const std::vector<Accelerator>& fleet, TimePoint now) {
+bool StabilizationWindow::IsStable(const std::vector<Accelerator>& fleet,
+                                   TimePoint now) {
   if (this->settled) return true;
   if (fleet != this->seen) {
     this->seen = fleet;
--- a/lib/platform/config_service.cc
+++ b/lib/platform/config_service.cc
@@ -218,7 +218,8 @@
   }
   const auto on_events = [this, call](const WatchAnswer& answer) {
     this->mirror_waits = false;
-    if (answer.status == WatchStatus::kRevisionExpired) this->records_mirror.OnGone();
+    if (answer.status == WatchStatus::kRevisionExpired)
+      this->records_mirror.OnGone();
     if (answer.status != WatchStatus::kEvents) return;
     this->records_mirror.OnEvents(call.after, answer.reached, answer.events);
   };
--- a/lib/platform/idempotency_journal.cc
+++ b/lib/platform/idempotency_journal.cc
@@ -33,8 +33,8 @@
 }  // namespace
 
 IdempotencyJournal::IdempotencyJournal(transport::EventLoop& event_loop,
-                         Client& platform_client,
-                         const std::string& incarnation)
+                                       Client& platform_client,
+                                       const std::string& incarnation)
     : loop(event_loop), client(platform_client) {
   for (std::uint32_t number = 0; number < kShards; ++number) {
     this->shards.emplace_back(once::ShardSettings{}, number, incarnation);
@@ -45,13 +45,15 @@
   return this->shards[StableHash(key) % kShards];
 }
 
-std::string IdempotencyJournal::Claim(const IdempotentRequest& request, Done done) {
+std::string IdempotencyJournal::Claim(const IdempotentRequest& request,
+                                      Done done) {
   std::string claim = NewId();
   const auto millis = MillisOf(request.idempotency_key);
   if (!millis.has_value()) {
     // No instance ever accepts such a key, so "not run" is true (I3).
     auto refuse = [done = std::move(done)] {
-      done(once::Refused{once::IdempotencyError::kKeyMalformed, once::Ran::kNo});
+      done(
+          once::Refused{once::IdempotencyError::kKeyMalformed, once::Ran::kNo});
     };
     this->loop.Post(std::move(refuse));
     return claim;
@@ -65,8 +67,9 @@
   return claim;
 }
 
-void IdempotencyJournal::Conclude(const IdempotentRequest& request, const std::string& claim,
-                           once::KeyState state, once::Outcome outcome) {
+void IdempotencyJournal::Conclude(const IdempotentRequest& request,
+                                  const std::string& claim,
+                                  once::KeyState state, once::Outcome outcome) {
   const std::string key = JournalKey(request);
   this->ShardOf(key).RecordOutcome(
       once::Entry{key, claim, "", state, std::move(outcome)}, this->loop.Now());
@@ -97,7 +100,8 @@
   if (call.has_value()) this->Carry(shard, *call);
 }
 
-void IdempotencyJournal::Carry(once::Shard& shard, const once::ShardCall& call) {
+void IdempotencyJournal::Carry(once::Shard& shard,
+                               const once::ShardCall& call) {
   if (const auto* write = std::get_if<store::Write>(&call)) {
     auto on_write = [this, &shard](const store::WriteAnswer& answer) {
       shard.OnWrite(answer);
--- a/lib/platform/record_inspector.cc
+++ b/lib/platform/record_inspector.cc
@@ -65,8 +65,8 @@
   return problems;
 }
 
-control::Inspection SchemaRecordInspector::Inspect(const control::RecordMap& records,
-                                           const std::string& name) const {
+control::Inspection SchemaRecordInspector::Inspect(
+    const control::RecordMap& records, const std::string& name) const {
   const std::string& text = records.at(name);
   control::Inspection inspection{SchemaOf(text), {}};
   if (!this->Parsed(text).has_value()) {
--- a/unittests/adapter/store_reads_test.cc
+++ b/unittests/adapter/store_reads_test.cc
@@ -66,7 +66,8 @@
   EndpointListLog lists(logger);
   StoreSync<SlowAdapter> sync(
       loop, store, state, logger, lists, [] {},
-      StoreSyncTimes(milliseconds(4000)), gossip::InitialReadPolicy(1, loop.Now(), 0));
+      StoreSyncTimes(milliseconds(4000)),
+      gossip::InitialReadPolicy(1, loop.Now(), 0));
   sync.Start();
   loop.After(milliseconds(850), [&loop] { loop.Stop(); });
   loop.Run();
--- a/unittests/attempts/attempt_policy_test.cc
+++ b/unittests/attempts/attempt_policy_test.cc
@@ -18,8 +18,8 @@
 }
 
 rc::Gen<AttemptOutcome> AnyEnd() {
-  return rc::gen::element(AttemptOutcome::kNotSent, AttemptOutcome::kNotRun, AttemptOutcome::kUnknown,
-                          AttemptOutcome::kFailed);
+  return rc::gen::element(AttemptOutcome::kNotSent, AttemptOutcome::kNotRun,
+                          AttemptOutcome::kUnknown, AttemptOutcome::kFailed);
 }
 
 rc::Gen<RequestKind> AnyKind() {
@@ -33,12 +33,14 @@
   NextStep last = NextStep::kRetry;
 };
 
-Played Play(const routes::Route& route, const std::vector<AttemptOutcome>& ends) {
+Played Play(const routes::Route& route,
+            const std::vector<AttemptOutcome>& ends) {
   Played played;
   AttemptCounts tries;
   for (const AttemptOutcome end : ends) {
     ++tries.total;
-    const bool ran = end == AttemptOutcome::kUnknown || end == AttemptOutcome::kFailed;
+    const bool ran =
+        end == AttemptOutcome::kUnknown || end == AttemptOutcome::kFailed;
     if (ran) ++tries.may_have_run;
     played.may_have_run = tries.may_have_run;
     played.last = NextStepAfter(route, tries, end, true);
@@ -53,7 +55,8 @@
   const auto kind = *AnyKind();
   const bool resumable = *rc::gen::arbitrary<bool>();
   const auto route = MakeRoute(kind, resumable, *rc::gen::inRange(1, 4));
-  const auto ends = *rc::gen::container<std::vector<AttemptOutcome>>(12, AnyEnd());
+  const auto ends =
+      *rc::gen::container<std::vector<AttemptOutcome>>(12, AnyEnd());
   const Played played = Play(route, ends);
   if (!route.Repeatable()) RC_ASSERT(played.may_have_run <= 1);
   RC_ASSERT(played.may_have_run <= route.max_attempts);
@@ -63,25 +66,25 @@
 
 BOOST_AUTO_TEST_CASE(FailureOfLastTryIsHandedOn) {
   const auto route = MakeRoute(RequestKind::kIdempotent, false, 2);
-  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed, true) ==
-              NextStep::kRetry);
-  BOOST_CHECK(NextStepAfter(route, {2, 2, false}, AttemptOutcome::kFailed, true) ==
-              NextStep::kRelayFailure);
-  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed, false) ==
-              NextStep::kRelayFailure);
+  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed,
+                            true) == NextStep::kRetry);
+  BOOST_CHECK(NextStepAfter(route, {2, 2, false}, AttemptOutcome::kFailed,
+                            true) == NextStep::kRelayFailure);
+  BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed,
+                            false) == NextStep::kRelayFailure);
 }
 
 // Part of an answer is out and the rest can't be had: the connection breaks, so
 // that the part can't look whole (I2).
 BOOST_AUTO_TEST_CASE(BegunAnswerIsBrokenOff) {
   const auto route = MakeRoute(RequestKind::kStream, false, 2);
-  BOOST_CHECK(NextStepAfter(route, {1, 1, true}, AttemptOutcome::kUnknown, true) ==
-              NextStep::kAbort);
+  BOOST_CHECK(NextStepAfter(route, {1, 1, true}, AttemptOutcome::kUnknown,
+                            true) == NextStep::kAbort);
   const auto resumable = MakeRoute(RequestKind::kStream, true, 2);
-  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown, true) ==
-              NextStep::kRetry);
-  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown, false) ==
-              NextStep::kAbort);
+  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown,
+                            true) == NextStep::kRetry);
+  BOOST_CHECK(NextStepAfter(resumable, {1, 1, true}, AttemptOutcome::kUnknown,
+                            false) == NextStep::kAbort);
 }
 
 }  // namespace
--- a/unittests/endpoints/liveness_evidence_test.cc
+++ b/unittests/endpoints/liveness_evidence_test.cc
@@ -20,7 +20,7 @@
 // only "c" and its neighbour, which nobody else uses, are asked.
 BOOST_AUTO_TEST_CASE(OnlyEnginesThatNoOtherAnswerPassesAreDoubted) {
   const std::vector<LivenessEvidence> others = {{Path({"a", "b"}), At(110)},
-                                          {Path({"c", "d"}), At(60)}};
+                                                {Path({"c", "d"}), At(60)}};
   const auto doubted =
       EnginesWithoutEvidence(Path({"a", "b", "c", "d"}), At(100), others);
   BOOST_TEST((doubted == Path({"c", "d"})));
--- a/unittests/gossip/gossip_test.cc
+++ b/unittests/gossip/gossip_test.cc
@@ -5,15 +5,15 @@
 #include <map>
 #include <set>
 
+#include "toucanwharf/gossip/backup_leaders.h"
 #include "toucanwharf/gossip/beacon.h"
+#include "toucanwharf/gossip/beacon_schedule.h"
 #include "toucanwharf/gossip/election_policy.h"
-#include "toucanwharf/gossip/backup_leaders.h"
-#include "toucanwharf/gossip/initial_read_policy.h"
 #include "toucanwharf/gossip/fleet_loads.h"
+#include "toucanwharf/gossip/initial_read_policy.h"
 #include "toucanwharf/gossip/key_range.h"
 #include "toucanwharf/gossip/peer_table.h"
 #include "toucanwharf/gossip/ready_instance_list.h"
-#include "toucanwharf/gossip/beacon_schedule.h"
 
 namespace toucanwharf::gossip {
 namespace {
@@ -257,11 +257,13 @@
 BeaconTargets MakeAudience(int size) {
   BeaconTargets audience;
   for (const std::string& one : Addresses(size)) {
-    const bool near = audience.same_domain.size() <= audience.other_domains.size() / 4;
+    const bool near =
+        audience.same_domain.size() <= audience.other_domains.size() / 4;
     (near ? audience.same_domain : audience.other_domains).push_back(one);
   }
   audience.leader = audience.other_domains.back();
-  audience.backup_leaders = {audience.same_domain.back(), audience.other_domains.front()};
+  audience.backup_leaders = {audience.same_domain.back(),
+                             audience.other_domains.front()};
   return audience;
 }
 
@@ -284,8 +286,8 @@
       BOOST_REQUIRE(std::count(chosen.begin(), chosen.end(), audience.leader) ==
                     1);
       for (const std::string& backup_leader : audience.backup_leaders) {
-        const bool told =
-            std::find(chosen.begin(), chosen.end(), backup_leader) != chosen.end();
+        const bool told = std::find(chosen.begin(), chosen.end(),
+                                    backup_leader) != chosen.end();
         BOOST_REQUIRE((told || round % 2 == 0));
       }
       sent += chosen.size();
@@ -303,10 +305,12 @@
   const BeaconTargets audience = MakeAudience(85);
   BeaconSchedule rotation;
   std::set<std::string> told;
-  for (std::size_t round = 0; round < 4 * audience.other_domains.size(); ++round) {
+  for (std::size_t round = 0; round < 4 * audience.other_domains.size();
+       ++round) {
     for (const std::string& one : rotation.Next(audience)) told.insert(one);
   }
-  for (const std::string& one : audience.other_domains) BOOST_TEST(told.contains(one));
+  for (const std::string& one : audience.other_domains)
+    BOOST_TEST(told.contains(one));
 }
 
 BOOST_AUTO_TEST_CASE(HubTellsEverybodyInEverySecondRound) {
@@ -394,8 +398,9 @@
   BOOST_TEST(table.CandidatesAhead(0.12, "10.0.0.5:80", At(9000)) == 0U);
 }
 
-// Guards against a leader and its backup leaders that fall together with one failure
-// domain, and against a weak backup leader that spends its processor on talk.
+// Guards against a leader and its backup leaders that fall together with one
+// failure domain, and against a weak backup leader that spends its processor on
+// talk.
 BOOST_AUTO_TEST_CASE(DeputiesAreStrongAndInOtherDomains) {
   PeerTable table("own");
   int at = 0;
@@ -439,11 +444,13 @@
   beacon.leads = true;
   beacon.configuration_age = milliseconds(4000);
   table.OnBeacon("10.0.0.1:7", beacon, At(0));
-  BOOST_CHECK(table.CoordinatorConfirmationAge({}, At(100)) == milliseconds(4100));
+  BOOST_CHECK(table.CoordinatorConfirmationAge({}, At(100)) ==
+              milliseconds(4100));
   beacon = MakeBeacon("deputy", 1);
   beacon.configuration_age = milliseconds(300);
   table.OnBeacon("10.0.0.2:7", beacon, At(0));
-  BOOST_CHECK(table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(100)) == milliseconds(400));
+  BOOST_CHECK(table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(100)) ==
+              milliseconds(400));
   BOOST_CHECK(!table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(1600)));
 }
 
--- a/unittests/instance/snapshot_exchange_test.cc
+++ b/unittests/instance/snapshot_exchange_test.cc
@@ -45,8 +45,8 @@
         state(InstanceSettings{}, name),
         logger(STDERR_FILENO, name),
         client(event_loop),
-        copies(event_loop, this->client, this->state, this->logger,
-               this->lists, "domain") {
+        copies(event_loop, this->client, this->state, this->logger, this->lists,
+               "domain") {
     this->copies.Start(
         [this](std::uint64_t revision, const std::string& text) {
           this->state.configuration_revision = revision;
--- a/unittests/instance/store_sync_test.cc
+++ b/unittests/instance/store_sync_test.cc
@@ -14,7 +14,8 @@
   for (const int bound_millis : {2000, 3000}) {
     const Duration bound = milliseconds(bound_millis);
     const StoreSyncTimes times(bound);
-    BOOST_CHECK(times.oldest_proof + times.look_period + kStoreInactivityTimeout <=
+    BOOST_CHECK(times.oldest_proof + times.look_period +
+                    kStoreInactivityTimeout <=
                 bound);
     // What the reader vouches for, and a beacon that is lost, come before it.
     BOOST_CHECK(times.reader_period + times.look_period + milliseconds(250) <
@@ -42,13 +43,14 @@
 }
 
 // Guards against hundreds of instances that read for themselves when the leader
-// has died: a backup leader has read, and told them, before their proofs get too old.
+// has died: a backup leader has read, and told them, before their proofs get
+// too old.
 BOOST_AUTO_TEST_CASE(DeputyReadsBeforeTheOthersMust) {
   constexpr Duration kBetweenDeputysMessages = milliseconds(500);
   constexpr Duration kBetweenOwnMessages = milliseconds(500);
   const StoreSyncTimes times{milliseconds(4000)};
-  BOOST_CHECK(times.backup_leader_confirmation + times.look_period + kBetweenOwnMessages +
-                  kBetweenDeputysMessages <
+  BOOST_CHECK(times.backup_leader_confirmation + times.look_period +
+                  kBetweenOwnMessages + kBetweenDeputysMessages <
               times.oldest_proof);
 }
 
--- a/unittests/once/shard_test.cc
+++ b/unittests/once/shard_test.cc
@@ -264,7 +264,8 @@
   world.Settle();
   const Verdict verdict = VerdictOf(world, old);
   BOOST_REQUIRE(std::holds_alternative<Refused>(verdict));
-  BOOST_TEST((std::get<Refused>(verdict).reason == IdempotencyError::kKeyTooOld));
+  BOOST_TEST(
+      (std::get<Refused>(verdict).reason == IdempotencyError::kKeyTooOld));
 }
 
 // A replaced router reads the journal from a lagging replica: the copy of a
--- a/unittests/pipeline/interleavings_test.cc
+++ b/unittests/pipeline/interleavings_test.cc
@@ -103,8 +103,8 @@
       case Step::kProbeDead:
       case Step::kProbeAlive:
         return this->Send(ProbeCompleted{pick % 8,
-                                        "e" + std::to_string(pick % 9),
-                                        step == Step::kProbeAlive});
+                                         "e" + std::to_string(pick % 9),
+                                         step == Step::kProbeAlive});
       case Step::kNoCover:
         this->asked.reset();
         return this->Send(PlanFailed{this->machine.Attempt(), Error::kNoCover});
--- a/unittests/placement/layout_test.cc
+++ b/unittests/placement/layout_test.cc
@@ -154,8 +154,9 @@
   for (std::uint32_t at = 0; at < model.layers; ++at) {
     for (const Accelerator& one : fleet) {
       if (at < one.layers.begin || at >= one.layers.end) continue;
-      const double each = (model.mean_prompt_tokens + model.mean_answer_tokens) *
-                          model.token_mb / model.layers * one.layers.Count();
+      const double each =
+          (model.mean_prompt_tokens + model.mean_answer_tokens) *
+          model.token_mb / model.layers * one.layers.Count();
       const double memory = model.FindKind(one.kind)->memory_mb -
                             one.layers.Count() * model.layer_mb;
       const double room = std::min(room_up_to[at], memory / each);
--- a/unittests/placement/order_tracker_test.cc
+++ b/unittests/placement/order_tracker_test.cc
@@ -91,8 +91,9 @@
       book.OnOutcome("engine", OrderOutcome::kUnknown, now);
     } else {
       book.OnOutcome("engine",
-                 engine.Take(*order) ? OrderOutcome::kAccepted : OrderOutcome::kRefused,
-                 now);
+                     engine.Take(*order) ? OrderOutcome::kAccepted
+                                         : OrderOutcome::kRefused,
+                     now);
     }
   }
   for (const PlaceOrder& order : engine.late) engine.Take(order);
--- a/unittests/placement/path_finder_test.cc
+++ b/unittests/placement/path_finder_test.cc
@@ -157,7 +157,7 @@
   double fullest = 0;
   for (const Engine& engine : view) {
     const double room = TokenLayerCapacity(model, *model.FindKind(engine.kind),
-                                       engine.layers.Count());
+                                           engine.layers.Count());
     if (room > 0) fullest = std::max(fullest, given[engine.id] / room);
   }
   return fullest;
