--- a/include/toucanwharf/admission/cost.h
+++ b/include/toucanwharf/admission/cost.h
@@ -6,23 +6,23 @@
 #include <unordered_map>
 
 /// \file
-/// What a request costs before it ran, in output tokens.
+/// Estimates what a request costs before it has run, in output tokens.
 ///
-/// Pattern of load: a customer's requests differ a hundredfold in length, and
-/// `max_tokens` says little, as most callers leave it at its maximum. Counted
-/// as one each, a customer of long answers gets many times its share; counted
-/// by `max_tokens`, short answers are refused for work that never comes.
+/// Load: a customer's requests differ a hundredfold in length, and `max_tokens`
+/// says little, as most callers leave it at its maximum. Counted as one each, a
+/// customer of long answers gets many times its share; counted by `max_tokens`,
+/// short answers are refused for work that never comes.
 namespace toucanwharf::admission {
 
 /// Cost of one prompt token. Engines prefill in large batches: 20 to 50 prompt
-/// tokens take the time of one output token; the low end is taken, so that
-/// long prompts aren't cheap.
+/// tokens take the time of one output token. The low end is used, so that long
+/// prompts aren't cheap.
 inline constexpr double kPromptTokenCost = 0.05;
 
-/// What is known of a request's size when it comes in.
+/// Size of a request as known on arrival.
 struct RequestSize {
   double prompt_tokens = 0;
-  /// Most tokens that the caller wants.
+  /// Maximum number of output tokens that the caller requests.
   double max_tokens = 0;
 
   friend bool operator==(const RequestSize&, const RequestSize&) = default;
@@ -32,20 +32,20 @@
 /// Thread safety: none; for one thread.
 class CostModel {
  public:
-  /// Returns the output tokens to expect, at most `max_tokens`. A customer
-  /// that wasn't seen before is taken as the mean of all.
+  /// Returns the expected output tokens, at most `max_tokens`. A customer
+  /// without answers so far gets the mean of all customers.
   double ExpectedOutput(std::string_view customer,
                         const RequestSize& size) const;
 
-  /// Returns the cost: prompt and expected output.
+  /// Returns the cost of the prompt and the expected output.
   double Cost(std::string_view customer, const RequestSize& size) const;
 
-  /// Notes an answer's length once it is whole.
-  void Learn(std::string_view customer, double output_tokens);
+  /// Records the length of a complete answer.
+  void RecordOutput(std::string_view customer, double output_tokens);
 
  private:
   std::unordered_map<std::string, double> means;
-  double overall = 0;
+  double overall_mean = 0;
 };
 
 /// Returns the cost of \p output_tokens after a prompt of \p prompt_tokens.
@@ -53,10 +53,10 @@
   return prompt_tokens * kPromptTokenCost + output_tokens;
 }
 
-/// Returns the output still to come of an answer that was expected to have
-/// \p expected tokens and has had \p emitted. An answer that outgrew its
-/// expectation is likely long: half of what it has had is expected yet.
-double ExpectedRest(double expected, double emitted, double max_tokens);
+/// Returns the expected remaining output of an answer that was expected to have
+/// \p expected tokens and has emitted \p emitted. An answer that exceeds its
+/// expectation is likely long: half of what it has emitted is expected as well.
+double ExpectedRemaining(double expected, double emitted, double max_tokens);
 
 }  // namespace toucanwharf::admission
 
--- a/include/toucanwharf/admission/limiter.h
+++ b/include/toucanwharf/admission/limiter.h
@@ -9,46 +9,47 @@
 #include "toucanwharf/routing/endpoints.h"
 
 /// \file
-/// How many requests this router may have on each endpoint.
+/// Limits how many requests this router has on each endpoint.
 ///
-/// Pattern of load: saturation, seen by several routers through lagging
-/// reports. Without a limit all waiting happens inside the endpoints, first
-/// come first served, where neither shares nor deadlines count and a request
-/// that waits on one endpoint can't use the slot that came free on another.
-/// With a fixed limit of slots / routers, slots idle whenever routers don't
-/// have equal work. This limit follows the reports: each router keeps its fair
-/// part, and what an endpoint reports as free is claimed in parts that double
-/// while it stays free and halve when a queue forms.
+/// Load: saturation, seen by several routers through lagging reports. Without a
+/// limit all waiting happens inside the endpoints, first come first served,
+/// where neither shares nor deadlines count and a request that waits on one
+/// endpoint can't use a slot released on another. With a fixed limit of slots /
+/// routers, slots idle whenever routers have unequal work. This limit follows
+/// the reports: each router keeps its fair share, and claims a fraction of what
+/// an endpoint reports as free, which doubles while slots stay free and halves
+/// when a queue forms.
 namespace toucanwharf::admission {
 
-/// What a report says, and what this router had on the endpoint at that time.
+/// A load report, and this router's load on the endpoint when it was made.
 struct LimitSample {
   std::uint32_t slots = 1;
   double running = 0;
   /// Requests waiting inside the endpoint.
   double queued = 0;
-  /// KV memory that is free, in tokens, less what the waiting requests need.
+  /// Free KV memory in tokens, less what the queued requests need.
   double memory_free = 1e9;
   /// This router's requests that the report counts, and their KV memory.
-  std::uint32_t own = 0;
-  double own_memory = 0;
+  std::uint32_t in_flight = 0;
+  double in_flight_memory = 0;
 
   friend bool operator==(const LimitSample&, const LimitSample&) = default;
 };
 
-/// Thresholds, with the reason of each.
+/// Thresholds of the limits.
 struct LimiterSettings {
-  /// Routers that send to these endpoints, this one included.
+  /// Routers that send to these endpoints, including this one.
   std::uint32_t routers = 1;
   /// Requests that may wait inside an endpoint for each router, so that a slot
-  /// is taken again while the news of its release travels. One: a link's round
-  /// trip is a few hundredths of the time that a request holds its slot.
+  /// is reused before the report of its release arrives. One would do, as a
+  /// link's round trip is a few hundredths of the time that a request holds its
+  /// slot.
   double backlog = 0;
-  /// Part of a common request that must still fit into the memory limit.
+  /// Fraction of a mean request that must still fit into the memory limit.
   double memory_part = 0;
 };
 
-/// The limits of one router.
+/// Per-endpoint concurrency limits of one router.
 /// Thread safety: none; for one thread.
 class Limiter {
  public:
@@ -60,43 +61,45 @@
   /// Returns how many routers share the endpoints.
   std::uint32_t Routers() const { return this->settings.routers; }
 
-  /// Sets the part of each endpoint that this router is entitled to, 0 to 1;
-  /// until then it is one of all routers' equal parts.
-  void SetPartOfPool(double part);
+  /// Sets the fraction of each endpoint that this router is entitled to, 0 to
+  /// 1. The default is an equal share per router.
+  void SetPoolShare(double share);
 
-  /// Learns of \p endpoint with \p slots; until it reports, this router's fair
-  /// part is its limit.
+  /// Adds \p endpoint with \p slots; until it reports, this router's fair share
+  /// is its limit.
   void Add(routing::Endpoint endpoint, std::uint32_t slots);
 
-  /// Gives \p endpoint no room any more.
+  /// Stops admitting requests to \p endpoint.
   void Remove(routing::Endpoint endpoint);
 
-  /// Bars or frees \p endpoint (ejected, leaving, slow start) by the part of
-  /// its limit that counts, 0 to 1.
-  void SetPart(routing::Endpoint endpoint, double part);
+  /// Scales the limit of \p endpoint by \p factor, 0 to 1 (ejection, drain,
+  /// slow start).
+  void SetLimitFactor(routing::Endpoint endpoint, double factor);
 
-  /// Adapts the limit to a report.
+  /// Adapts the limit to a load report.
   void Reported(routing::Endpoint endpoint, const LimitSample& sample);
 
-  /// Notes one request handed over that will take \p memory tokens of KV.
+  /// Records the start of a request that will take \p memory tokens of KV.
   void Started(routing::Endpoint endpoint, double memory);
 
-  /// Notes the end of one request handed over before with the same \p memory.
+  /// Records the end of a request that was started with the same \p memory.
   void Finished(routing::Endpoint endpoint, double memory);
 
-  /// Notes that the endpoint refused for want of a slot. It gets nothing more
-  /// until it reports again or ends one of this router's requests; asking on
-  /// would spend a round trip and a retry on each of its next refusals.
+  /// Records that the endpoint refused for lack of a slot. It gets no more work
+  /// until it reports again or ends one of this router's requests; further
+  /// requests would each spend a round trip and a retry on another refusal.
   void Refused(routing::Endpoint endpoint);
 
   /// Returns whether \p endpoint may get one more request.
   bool HasRoom(routing::Endpoint endpoint) const;
 
-  /// Returns all endpoints with room, in no order. Valid until the next call
-  /// that isn't const.
-  std::span<const routing::Endpoint> WithRoom() const { return this->room; }
+  /// Returns all endpoints with free capacity, in no order. Valid until the
+  /// next call that isn't const.
+  std::span<const routing::Endpoint> Available() const {
+    return this->available;
+  }
 
-  /// Returns the requests that \p endpoint may have from this router.
+  /// Returns the maximum number of this router's requests on \p endpoint.
   double LimitOf(routing::Endpoint endpoint) const;
 
  private:
@@ -108,25 +111,25 @@
     double memory = 0;
     double memory_limit = 1e18;
     double mean_memory = 0;
-    double part = 1;
+    double limit_factor = 1;
     double claim = 0;
     bool refused = false;
-    /// Place in `room` plus one; 0 when not in it.
-    std::size_t place = 0;
+    /// Index in `available` plus one; 0 if not in it.
+    std::size_t available_index = 0;
   };
 
   Entry& At(routing::Endpoint endpoint);
   const Entry& At(routing::Endpoint endpoint) const;
-  double PartOfPool() const;
-  double FairPart(const Entry& entry) const;
-  static double Allowed(const Entry& entry);
-  bool Fits(const Entry& entry) const;
+  double PoolShare() const;
+  double FairShare(const Entry& entry) const;
+  static double EffectiveLimit(const Entry& entry);
+  bool AdmitsOneMore(const Entry& entry) const;
   void Update(routing::Endpoint endpoint);
 
   LimiterSettings settings;
-  std::optional<double> part_of_pool;
+  std::optional<double> pool_share;
   std::vector<Entry> entries;
-  std::vector<routing::Endpoint> room;
+  std::vector<routing::Endpoint> available;
 };
 
 }  // namespace toucanwharf::admission
--- a/include/toucanwharf/admission/queue.h
+++ b/include/toucanwharf/admission/queue.h
@@ -15,57 +15,57 @@
 #include "toucanwharf/support/clock.h"
 
 /// \file
-/// Requests that wait for an endpoint: customers by their shares, within a
-/// customer short and long work by turns, within each the earliest deadline
-/// first.
+/// Queue of requests that wait for an endpoint. Customers are served by their
+/// shares, within a customer short and long work alternate, and within each
+/// class the earliest deadline goes first.
 ///
-/// Pattern of load: more comes in than can be served, and long work among
-/// short. In arrival order everyone waits for the largest customer, a short
-/// question waits for the report before it, and under lasting overload every
-/// answer is late. A request whose turn can't come in time is refused at once,
-/// while its caller can still go elsewhere; waiting first and refusing later
-/// costs the caller the wait as well.
+/// Load: more requests arrive than can be served, and long work among short. In
+/// order of arrival everyone waits for the largest customer, a short question
+/// waits for the report before it, and under lasting overload every answer is
+/// late. A request that can't be served in time is refused immediately, while
+/// its caller can still go elsewhere; refusing it after a wait costs the caller
+/// the wait as well.
 namespace toucanwharf::admission {
 
-/// One waiting request.
+/// One queued request.
 struct Ticket {
   std::string id;
   CustomerNumber customer{};
-  /// In tokens, by the cost model.
+  /// Cost in tokens, by the cost model.
   double cost = 0;
   TimePoint arrived;
-  /// Latest point at which the first token is of use.
+  /// Latest time at which the first token is of use.
   TimePoint deadline;
-  /// Least time from the handover to the first token.
-  Duration least_service{0};
+  /// Minimum time from the dispatch to the first token.
+  Duration min_service_time{0};
 
   friend bool operator==(const Ticket&, const Ticket&) = default;
 };
 
-/// Speed at which the queue empties while something waits.
+/// Measures the rate at which the queue drains while it isn't empty.
 /// Thread safety: none; for one thread.
 class DrainMeter {
  public:
-  /// Sets the speed to assume before anything was measured, tokens a second.
-  /// Without effect after that.
-  void SetFirstGuess(double tokens_per_second);
+  /// Sets the rate to assume before the first measurement, in tokens per
+  /// second. No effect after that.
+  void SetInitialRate(double tokens_per_second);
 
-  /// Notes at \p now whether something waits from here on.
-  void Waiting(TimePoint now, bool waiting);
+  /// Records at \p now whether the queue is not empty from then on.
+  void SetWaiting(TimePoint now, bool waiting);
 
-  /// Notes \p cost tokens taken from the queue.
-  void Took(TimePoint now, double cost);
+  /// Records that \p cost tokens were taken from the queue.
+  void RecordTaken(TimePoint now, double cost);
 
-  /// Returns tokens a second; 0 when nothing is known or nothing moves.
+  /// Returns the rate in tokens per second; 0 if unknown or stalled.
   double Rate(TimePoint now) const;
 
-  /// Returns whether anything was measured or guessed yet.
-  bool Known() const { return this->known; }
+  /// Returns whether a rate was measured or set.
+  bool HasRate() const { return this->has_rate; }
 
  private:
   void Advance(TimePoint now);
 
-  bool known = false;
+  bool has_rate = false;
   bool measured = false;
   bool waiting = false;
   double rate = 0;
@@ -74,25 +74,24 @@
   TimePoint last;
 };
 
-/// Thresholds, with the reason of each.
+/// Thresholds of the queue.
 struct QueueSettings {
-  /// From this cost on work is long. 400 tokens are about 10 s of an answer at
-  /// 25 ms a token; questions and summaries stay below it.
+  /// Minimum cost of long work. 400 tokens are about 10 s of an answer at 25 ms
+  /// per token; questions and summaries stay below it.
   double long_cost = 400;
-  /// Customers whose turns are at most this many tokens apart count as equal,
-  /// and the earliest deadline of them is taken: about two common answers, so
-  /// that no share is off by more than that.
+  /// Customers whose virtual times differ by at most this many tokens count as
+  /// equal, and the earliest deadline of them is served: about two common
+  /// answers, so that no share is off by more than that.
   double turn_slack = 100;
-  /// Longest wait, whatever the deadline: a queue longer than this only adds
+  /// Maximum wait, regardless of the deadline: a longer queue adds only
   /// waiting, not throughput.
-  Duration longest_wait = std::chrono::seconds(10);
-  /// Kept back from the wait for what may still delay a request at the
-  /// endpoint: other routers' work that no report shows yet, a report interval
-  /// long.
-  Duration handover = std::chrono::milliseconds(250);
+  Duration max_wait = std::chrono::seconds(10);
+  /// Part of the wait that is reserved for delays at the endpoint: other
+  /// routers' work that no report shows yet, for one report interval.
+  Duration dispatch_reserve = std::chrono::milliseconds(250);
 };
 
-/// The waiting requests of one pool of endpoints.
+/// The queued requests of one pool of endpoints.
 /// Thread safety: none; for one thread.
 class FairQueue {
  public:
@@ -101,40 +100,38 @@
   /// Returns the shares, for weights and gossip.
   Shares& SharesOf() { return this->shares; }
 
-  /// Returns the drain meter.
   DrainMeter& Drain() { return this->drain; }
 
-  /// Returns how long a request of \p customer and \p cost would wait: its
-  /// customer's backlog at its share of the drain rate, or the whole backlog
-  /// at the whole rate, whichever is less. Nothing when no speed is known.
+  /// Returns the expected wait of a request of \p customer and \p cost: its
+  /// customer's backlog at its share of the drain rate, or the whole backlog at
+  /// the whole rate, whichever is less. Nothing if the rate is unknown.
   std::optional<Duration> ExpectedWait(TimePoint now, CustomerNumber customer,
                                        double cost) const;
 
-  /// Returns the longest wait that lets \p ticket be of use.
+  /// Returns the maximum wait after which \p ticket is still of use.
   Duration AllowedWait(TimePoint now, const Ticket& ticket) const;
 
   /// Adds \p ticket. Precondition: its id isn't in the queue.
   void Push(TimePoint now, const Ticket& ticket);
 
-  /// Returns the ticket whose turn it is, or null. Valid until the next call
-  /// that isn't const.
+  /// Returns the next ticket to serve, or null. Valid until the next call that
+  /// isn't const.
   const Ticket* Front() const;
 
-  /// Takes out ticket \p id as served and charges its customer.
-  /// Precondition: it is in the queue.
+  /// Removes ticket \p id as served and charges its customer. Precondition: it
+  /// is in the queue.
   Ticket Take(TimePoint now, const std::string& id);
 
-  /// Takes out ticket \p id without a charge: its caller left. Returns whether
-  /// it was there.
+  /// Removes ticket \p id without a charge, as its caller disconnected. Returns
+  /// whether it was queued.
   bool Drop(TimePoint now, const std::string& id);
 
-  /// Takes out all that can't be answered in time any more.
-  std::vector<Ticket> TakeLapsed(TimePoint now);
+  /// Removes and returns all tickets that can no longer be served in time.
+  std::vector<Ticket> TakeExpired(TimePoint now);
 
-  /// Returns how many wait.
   std::size_t size() const { return this->tickets.size(); }
 
-  /// Returns the cost of all that wait.
+  /// Returns the total cost of the queued requests.
   double Backlog() const { return this->backlog; }
 
  private:
--- a/include/toucanwharf/attempts/attempt_policy.h
+++ b/include/toucanwharf/attempts/attempt_policy.h
@@ -3,17 +3,17 @@
 
 #include "toucanwharf/routes/configuration.h"
 
-/// What becomes of a request after a try at an endpoint has ended.
+/// What to do with a request after an attempt at an endpoint has ended.
 namespace toucanwharf::attempts {
 
-/// How a try ended without an answer that can be handed on.
+/// How an attempt ended without an answer that can be relayed.
 enum class AttemptOutcome {
   /// No byte was sent.
   kNotSent,
-  /// The endpoint said that it did not run the request.
+  /// The endpoint reported that it did not run the request.
   kNotRun,
-  /// Sent, and nothing certain came back: a break, silence, or bytes that are
-  /// no answer to this request.
+  /// Sent without a conclusive response: the connection broke, timed out, or
+  /// returned bytes that are no answer to this request.
   kUnknown,
   /// The endpoint ran it and reported a failure.
   kFailed,
@@ -25,42 +25,44 @@
   kRetry,
   /// Refuse: it has not run and never will (I3).
   kRefuse,
-  /// Say that its fate is not known.
+  /// Report that its outcome is unknown.
   kUnknownOutcome,
-  /// Hand on the endpoint's own failure.
+  /// Relay the endpoint's own failure.
   kRelayFailure,
-  /// Break the connection: part of the answer is out already.
+  /// Abort the connection: part of the answer has been sent.
   kAbort,
 };
 
-/// A request so far.
+/// Attempts of a request so far.
 struct AttemptCounts {
-  /// Tries that may have run at an endpoint.
+  /// Attempts that may have run at an endpoint.
   int may_have_run = 0;
-  /// Tries in all.
+  /// All attempts.
   int total = 0;
-  /// Whether part of an answer was handed out.
+  /// Whether part of an answer was sent to the caller.
   bool answer_started = false;
 
   friend bool operator==(const AttemptCounts&, const AttemptCounts&) = default;
 };
 
-/// Tries that were surely not run don't count as runs, but each costs time and
-/// an arrival; after this many more than the route allows the service is
-/// refusing for a reason that another try won't change.
-inline constexpr int kMostNotRunTries = 3;
+/// Attempts beyond the route's limit that are allowed for attempts that
+/// certainly did not run. Those don't count as runs, but each costs time and an
+/// arrival; after so many the service refuses for a reason that another attempt
+/// won't change.
+inline constexpr int kMaxNotRunAttempts = 3;
 
-/// Returns the step after \p end, the last of \p tries. \p budget_left is
-/// whether another arrival may be caused. A request that isn't idempotent and
-/// may have run is never sent again (I4), and is never called "not run" (I3).
+/// Returns the step after an attempt that ended with \p outcome, the last of \p
+/// counts. \p budget_left is whether another arrival may be caused. A request
+/// that isn't idempotent and may have run is never sent again (I4), and is
+/// never called "not run" (I3).
 /// Thread safety: safe.
-NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& tries,
-                       AttemptOutcome end, bool budget_left);
+NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& counts,
+                       AttemptOutcome outcome, bool budget_left);
 
-/// Returns whether NextStepAfter could say kRetry with a budget.
+/// Returns whether NextStepAfter returns kRetry if the budget allows it.
 /// Thread safety: safe.
-bool MayRetry(const routes::Route& route, const AttemptCounts& tries,
-              AttemptOutcome end);
+bool MayRetry(const routes::Route& route, const AttemptCounts& counts,
+              AttemptOutcome outcome);
 
 }  // namespace toucanwharf::attempts
 
--- a/include/toucanwharf/attempts/probe_backoff.h
+++ b/include/toucanwharf/attempts/probe_backoff.h
@@ -5,43 +5,43 @@
 
 namespace toucanwharf::attempts {
 
-/// Thresholds of the restraint.
+/// Thresholds of the backoff.
 struct ProbeBackoffSettings {
-  /// What a false alarm multiplies the patience by.
+  /// Factor by which one false alarm lengthens the stall timeout.
   double growth = 1.5;
-  /// The most that patience is multiplied by.
-  double most = 3;
-  /// What the factor loses in a second without a false alarm.
+  /// Upper bound of the factor.
+  double max_factor = 3;
+  /// Decrease of the factor per second without a false alarm.
   double recovery_per_second = 0.05;
-  /// Answers that pause together are one alarm.
-  Duration together = std::chrono::milliseconds(200);
+  /// False alarms within this time of the last one count as one: the answers of
+  /// a path stall together.
+  Duration merge_interval = std::chrono::milliseconds(200);
 
   friend bool operator==(const ProbeBackoffSettings&,
                          const ProbeBackoffSettings&) = default;
 };
 
-/// Makes a router slower to ask engines whether they live after questions that
-/// were in vain.
+/// Delays liveness probes of engines after probes that found no fault.
 ///
-/// Load that it answers: on some fleets all answers of a path pause together
-/// for a moment without any fault, while an engine reads a long prompt. Asked
-/// at each such pause, engines get more questions than requests. There the
-/// router learns to wait; on a fleet whose answers flow evenly it goes on
-/// asking soon.
+/// Load: on some fleets all answers of a path stall together for a moment
+/// without any fault, while an engine reads a long prompt. Probed at each such
+/// stall, engines get more probes than requests. On such a fleet false alarms
+/// lengthen the stall timeout; on a fleet whose answers flow evenly probes stay
+/// early.
 /// Thread safety: none; for one thread.
 class ProbeBackoff {
  public:
   explicit ProbeBackoff(const ProbeBackoffSettings& chosen = {})
       : settings(chosen) {}
 
-  /// Notes that an answer whose engines were asked went on by itself.
+  /// Records that an answer resumed by itself after its engines were probed.
   void OnFalseAlarm(TimePoint now);
-  /// Returns what patience is to be multiplied by, 1 or more.
+  /// Returns the factor for the stall timeout, 1 or more.
   double Factor(TimePoint now) const;
 
  private:
   ProbeBackoffSettings settings;
-  /// The factor right after the last false alarm.
+  /// Factor right after the last false alarm; it decays from there.
   double factor = 1;
   TimePoint last_alarm;
 };
--- a/include/toucanwharf/attempts/stall_detector.h
+++ b/include/toucanwharf/attempts/stall_detector.h
@@ -7,18 +7,18 @@
 
 namespace toucanwharf::attempts {
 
-/// Thresholds of an answer's silence.
+/// Thresholds of stall detection.
 struct StallDetectorSettings {
-  /// Shorter silences are ordinary: an engine reads the prompt of another
-  /// answer, or waits for its turn at the processor.
-  Duration least = std::chrono::milliseconds(60);
-  /// So many mean deviations beyond the usual gap are ordinary, as in a
+  /// Minimum stall timeout. Shorter gaps are ordinary: an engine reads the
+  /// prompt of another answer, or waits for processor time.
+  Duration min_stall = std::chrono::milliseconds(60);
+  /// Mean deviations beyond the mean gap that are ordinary, as in a
   /// retransmission timeout.
   double deviations = 4;
-  /// Part of the time to the first event that goes by before the question.
+  /// Part of the first event's objective after which the engines are probed.
   double objective_share = 0.4;
-  /// Weight of the newest gap in the usual one, and of its deviation in the
-  /// mean deviation.
+  /// Weight of the newest gap in the mean gap, and of its deviation in the mean
+  /// deviation.
   double gap_weight = 0.125;
   double deviation_weight = 0.25;
 
@@ -26,44 +26,44 @@
                          const StallDetectorSettings&) = default;
 };
 
-/// Decides after how long a silence the engines of a streamed answer are asked
-/// whether they live.
+/// Computes how long a streamed answer may stall before its engines are probed
+/// for liveness.
 ///
-/// Load that it answers: an engine in the middle of a path dies, and the first
-/// engine tells of it only when its callers' pause is over. Asked too early, an
-/// overloaded fleet, where every answer pauses now and then, would answer
-/// questions instead of requests, and on a calm day questions would outnumber
-/// requests; so an answer's own gaps count, and how much they vary.
+/// Load: an engine in the middle of a path dies, and the first engine reports
+/// it only when its callers' pause is over. Probed too early, the engines of an
+/// overloaded fleet, where every answer stalls now and then, would serve probes
+/// instead of requests, and on a calm day probes would outnumber requests. The
+/// timeout therefore follows the answer's own gaps and their variation.
 /// Thread safety: none; for one thread.
 class StallDetector {
  public:
-  /// \p first_event is the time in which the first event is wanted.
+  /// \p first_event is the objective for the time to the first event.
   explicit StallDetector(Duration first_event,
                          const StallDetectorSettings& chosen = {})
       : settings(chosen), objective(first_event) {}
 
-  /// Notes an event.
+  /// Records an event.
   void OnEvent(TimePoint now);
-  /// Begins anew at another endpoint: what went before says nothing of it.
+  /// Starts over at another endpoint, as earlier gaps say nothing about it.
   void Restart();
-  /// Returns the silence after which the engines are asked.
+  /// Returns the stall after which the engines are probed.
   Duration StallTimeout() const;
-  /// Returns the silence after which an answer through an engine that is taken
-  /// as dead for other reasons is led around it.
+  /// Returns the stall after which an answer is rerouted around an engine that
+  /// other evidence marks as dead.
   Duration SuspectedStallTimeout() const;
-  /// Returns the longest pause so far between two events.
+  /// Returns the longest gap so far between two events.
   Duration LongestPause() const { return this->longest_pause; }
 
  private:
-  void NoteGap(Duration gap);
+  void RecordGap(Duration gap);
 
   StallDetectorSettings settings;
   Duration objective;
   std::optional<TimePoint> last_event;
-  Duration usual_gap{0};
+  Duration mean_gap{0};
   Duration mean_deviation{0};
-  /// When the last event came, from whichever endpoint.
-  std::optional<TimePoint> last_event_of_all;
+  /// Time of the last event, from any endpoint.
+  std::optional<TimePoint> last_event_any_endpoint;
   Duration longest_pause{0};
 };
 
--- a/include/toucanwharf/attempts/startup_wait.h
+++ b/include/toucanwharf/attempts/startup_wait.h
@@ -9,23 +9,24 @@
 
 /// Bounds on the requests that wait while a process starts.
 struct StartupWaitSettings {
-  /// A process has read the configuration and the endpoints some tens of
-  /// milliseconds after its start; if the store is away, waiting won't help.
-  Duration longest = std::chrono::milliseconds(250);
-  /// Bytes of requests that may wait, beside the memory of a small instance.
-  std::size_t most_bytes = 16UL * 1024 * 1024;
+  /// Maximum wait after the start. A process has read the configuration and the
+  /// endpoints some tens of milliseconds after its start; during a store outage
+  /// waiting won't help.
+  Duration max_wait = std::chrono::milliseconds(250);
+  /// Maximum total size of waiting requests, small beside the memory of a small
+  /// instance.
+  std::size_t max_bytes = 16UL * 1024 * 1024;
 
   friend bool operator==(const StartupWaitSettings&,
                          const StartupWaitSettings&) = default;
 };
 
-/// Decides whether a request that comes before a process knows where to send it
-/// may wait for that.
+/// Decides whether a request that arrives before the process has a
+/// configuration and endpoints may wait for them.
 ///
-/// Load that it answers: all instances of a fleet start anew, and every caller
-/// comes back in the same instant, before the configuration has been read.
-/// Refused, they spend their next try or come back late; 40 ms later all of
-/// them can be served.
+/// Load: all instances of a fleet restart, and every caller comes back at the
+/// same moment, before the configuration has been read. Refused, callers spend
+/// their next attempt or come back late; 40 ms later all of them can be served.
 /// Thread safety: none; for one thread.
 class StartupWait {
  public:
@@ -36,11 +37,11 @@
 
   /// Returns whether a request of \p bytes may wait, and counts it if so.
   bool Enter(std::size_t bytes, TimePoint now);
-  /// Takes off what Enter counted.
+  /// Releases the \p bytes that Enter counted.
   void Leave(std::size_t bytes) { this->waiting_bytes -= bytes; }
-  /// Returns whether the time to wait is over.
+  /// Returns whether the maximum wait is over.
   bool Expired(TimePoint now) const {
-    return now - this->started >= this->settings.longest;
+    return now - this->started >= this->settings.max_wait;
   }
 
  private:
--- a/include/toucanwharf/placement/order_tracker.h
+++ b/include/toucanwharf/placement/order_tracker.h
@@ -12,23 +12,24 @@
 
 namespace toucanwharf::placement {
 
-/// What an engine last said of itself.
+/// Last state that an engine reported.
 struct EngineReport {
   pipeline::LayerRange layers;
-  /// Orders that it has begun since its start.
+  /// Number of orders that it has begun since its start.
   std::uint64_t sequence = 0;
-  /// Whether an order is under way.
+  /// Whether an order is in progress.
   bool busy = false;
-  /// How many times slower than its kind it runs.
+  /// Slowdown factor relative to its kind.
   double slowdown = 1;
-  /// Tokens times layers that its answers held, some hundred milliseconds ago.
+  /// Tokens times layers that its answers held, as of some hundred milliseconds
+  /// ago.
   double token_layers = 0;
 
   friend bool operator==(const EngineReport&, const EngineReport&) = default;
 };
 
-/// An order to hold just \p layers, good only while the engine has begun
-/// \p sequence orders.
+/// An order to hold exactly \p layers, valid only while the engine has begun \p
+/// sequence orders.
 struct PlaceOrder {
   std::string engine;
   pipeline::LayerRange layers;
@@ -37,45 +38,48 @@
   friend bool operator==(const PlaceOrder&, const PlaceOrder&) = default;
 };
 
-/// How an order ended as far as is known.
+/// Known outcome of an order.
 enum class OrderOutcome {
-  /// Begun, or the state already held.
+  /// Begun, or the engine already holds the layers.
   kAccepted,
-  /// Surely not begun.
+  /// Certainly not begun.
   kRefused,
-  /// No answer: it may begin seconds later.
+  /// No response: it may begin seconds later.
   kUnknown,
 };
 
-/// Which orders to give and when, so that the engines come to hold a layout.
+/// Decides which orders to send to engines and when, until they hold the target
+/// layout.
 ///
-/// Failure guarded against: an order whose answer is lost is carried out
-/// seconds later, after a newer one, and the engine ends up with layers that
-/// nobody wants any more. The guard: an order states the whole range and names
-/// the count of orders that the engine has begun. After an order without a
-/// known end the engine's report is read before the next; if the count has not
-/// moved, the next order names the same count, and whichever of the two begins
-/// first makes the other void.
+/// Guards against a lost response: an order without a response is carried out
+/// seconds later, after a newer one, and the engine ends up with obsolete
+/// layers. An order therefore states the whole range and the number of orders
+/// that the engine has begun. After an order of unknown outcome the engine's
+/// report is read before the next order; if the number has not changed, the
+/// next order states the same one, and whichever of the two begins first
+/// invalidates the other.
 /// Thread safety: none; for one thread.
 class OrderTracker {
  public:
-  /// Takes a new layout; engines that it doesn't name get no orders.
-  void SetTargetLayout(Layout layout) { this->wanted = std::move(layout); }
-  const Layout& TargetLayout() const { return this->wanted; }
+  /// Sets the target layout; engines that it doesn't list get no orders.
+  void SetTargetLayout(Layout layout) { this->target = std::move(layout); }
+  const Layout& TargetLayout() const { return this->target; }
 
-  /// Notes a report of \p engine that was asked for at \p asked.
+  /// Applies a report of \p engine that was requested at \p requested.
   void OnReport(const std::string& engine, const EngineReport& report,
-                TimePoint asked);
-  /// Forgets an engine that is gone or has started anew.
+                TimePoint requested);
+  /// Forgets an engine that departed or restarted.
   void Forget(const std::string& engine) { this->entries.erase(engine); }
 
-  /// Returns the order to send to \p engine now, if any, and takes it as sent.
+  /// Returns the order to send to \p engine now, if any, and records it as
+  /// sent.
   std::optional<PlaceOrder> Next(const std::string& engine, TimePoint now);
-  /// Notes how the order that Next returned ended.
-  void OnOutcome(const std::string& engine, OrderOutcome end, TimePoint now);
+  /// Records the outcome of the order that Next returned.
+  void OnOutcome(const std::string& engine, OrderOutcome outcome,
+                 TimePoint now);
 
-  /// Returns whether a report of \p engine is worth asking for: its state is
-  /// not known, or not yet as wanted.
+  /// Returns whether a report of \p engine is needed: its state is unknown or
+  /// not yet the target.
   bool NeedsReport(const std::string& engine) const;
   /// Returns the last report, or null.
   const EngineReport* Report(const std::string& engine) const;
@@ -84,13 +88,13 @@
   struct Entry {
     EngineReport report;
     bool known = false;
-    /// An order is on its way.
+    /// An order is in flight.
     bool sending = false;
-    /// Reports asked for before this say nothing of the last order.
-    TimePoint settled_after;
+    /// Reports requested before this may not show the last order.
+    TimePoint reports_valid_from;
   };
 
-  Layout wanted;
+  Layout target;
   std::map<std::string, Entry> entries;
 };
 
--- a/include/toucanwharf/routes/configuration.h
+++ b/include/toucanwharf/routes/configuration.h
@@ -9,11 +9,11 @@
 #include "toucanwharf/placement/engine_model.h"
 #include "toucanwharf/support/clock.h"
 
-/// What operators configure for requests that are passed on unchanged: routes,
-/// services and customers, as immutable values, and the lookups on them.
+/// Configuration of requests that are passed on unchanged: routes, services and
+/// customers, as immutable values, and lookups on them.
 namespace toucanwharf::routes {
 
-/// What may be done again with a request.
+/// How often a request may run.
 enum class RequestKind {
   /// Idempotent: may run more than once.
   kIdempotent,
@@ -23,7 +23,7 @@
   kStream,
 };
 
-/// A service that a route leads to, and its part of the route's requests.
+/// A service of a route, and its weight among the route's services.
 struct ServiceShare {
   std::string service;
   std::uint32_t weight = 1;
@@ -37,21 +37,23 @@
   /// Begins and ends with a slash.
   std::string path_prefix;
   RequestKind kind = RequestKind::kNonIdempotent;
-  /// Longest time that a caller is kept waiting, up to the end of the answer.
+  /// Maximum time until the end of the answer.
   Duration timeout{std::chrono::seconds(20)};
-  /// Time within which an answer, or a stream's first event, is worth most.
+  /// Objective for the time to the answer, or to a stream's first event: within
+  /// it an answer is worth most.
   Duration objective{std::chrono::milliseconds(500)};
-  /// Longest pause between two events of a stream with which its answer still
+  /// Maximum pause between two events of a stream with which its answer still
   /// counts as on time.
   Duration pause_objective{std::chrono::milliseconds(200)};
   /// 0 is the most urgent.
   int priority = 0;
   std::vector<ServiceShare> services;
-  /// Endpoints that one request may be sent to.
+  /// Maximum number of endpoints that one request may be sent to.
   int max_attempts = 1;
-  /// Needs no key.
+  /// Requests need no key.
   bool open = false;
-  /// A stream may go on at another endpoint after the last event handed out.
+  /// A stream may resume at another endpoint after the last event that was sent
+  /// to the caller.
   bool resumable = false;
 
   /// Returns whether a request that may have run may be sent again.
@@ -65,7 +67,7 @@
 
 struct Service {
   std::string name;
-  /// Connections that one endpoint takes from all callers together.
+  /// Connections that one endpoint accepts from all callers together.
   std::uint32_t max_connections = 0;
   /// Set for model engines.
   std::optional<placement::EngineModel> engine;
@@ -76,13 +78,13 @@
 struct Customer {
   std::string name;
   std::vector<std::string> keys;
-  /// Goes before the route's priority.
+  /// Overrides the route's priority.
   std::optional<int> priority;
 
   friend bool operator==(const Customer&, const Customer&) = default;
 };
 
-/// Bounds on what a caller sends, and for how long it may stay idle.
+/// Bounds on the size of a caller's requests and on its idle time.
 struct CallerLimits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint64_t max_body_bytes = 4ULL * 1024 * 1024;
@@ -92,7 +94,7 @@
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
-/// All that is configured, as one version.
+/// The complete configuration of one version.
 struct Configuration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
--- a/include/toucanwharf/routes/freshness.h
+++ b/include/toucanwharf/routes/freshness.h
@@ -8,23 +8,23 @@
 
 namespace toucanwharf::routes {
 
-/// Until when the configuration in force may admit keys.
+/// Tracks until when keys may be admitted by the configuration in force.
 ///
-/// Failure guarded against: a key is taken away while this instance can't
-/// reach the store. It would go on running requests for whoever stole the key,
-/// for as long as the outage lasts. The guard: a key counts only while a read
-/// of the configuration that *began* less than the bound ago showed what is in
-/// force. The read was answered by a state no older than its beginning, so a
-/// later revocation is younger than the bound. Time is the boot clock's, which
-/// goes on while the machine is suspended.
+/// Guards against use of a revoked key: a key is revoked while this instance
+/// can't reach the store, and would admit requests of whoever stole the key for
+/// as long as the outage lasts. A key therefore counts only while a read of the
+/// configuration that *began* less than the bound ago confirmed the one in
+/// force. The read returned a state no older than its beginning, so a later
+/// revocation is younger than the bound. Time is the boot clock's, which
+/// continues while the machine is suspended.
 /// Thread safety: none; for one thread.
 class Freshness {
  public:
-  /// \p bound is how long a revoked key may still be used; \p margin is taken
-  /// off it for clocks that run at different speeds.
+  /// \p bound is how long a revoked key may still be used; \p margin is
+  /// subtracted from it for clocks that run at different speeds.
   Freshness(Duration bound, Duration margin) : valid_for(bound - margin) {}
 
-  /// Notes that the configuration in force was current at \p begun or later.
+  /// Records that the configuration in force was current at \p begun or later.
   void Confirm(TimePoint begun) {
     this->confirmed = std::max(this->confirmed.value_or(begun), begun);
   }
@@ -32,7 +32,7 @@
   bool Holds(TimePoint now) const {
     return this->confirmed && now - *this->confirmed < this->valid_for;
   }
-  /// Returns how old the newest proof is, or nothing without one.
+  /// Returns the age of the newest confirmation, or nothing without one.
   std::optional<Duration> Age(TimePoint now) const {
     if (!this->confirmed) return std::nullopt;
     return now - *this->confirmed;
--- a/include/toucanwharf/routes/route_table.h
+++ b/include/toucanwharf/routes/route_table.h
@@ -20,8 +20,8 @@
 
   const Configuration& All() const { return this->configuration; }
 
-  /// Returns the route of \p host (a port and the case of letters don't
-  /// matter) with the longest prefix that begins \p path, or null.
+  /// Returns the route of \p host (ignoring a port and letter case) with the
+  /// longest prefix of \p path, or null.
   const Route* Find(std::string_view host, std::string_view path) const;
   /// Returns the customer that holds \p key, or null.
   const Customer* CustomerOf(std::string_view key) const;
@@ -30,13 +30,13 @@
 
  private:
   Configuration configuration;
-  /// By host and prefix, joined.
+  /// By the concatenation of host and prefix.
   absl::flat_hash_map<std::string, const Route*> by_prefix;
   absl::flat_hash_map<std::string, const Customer*> by_key;
 };
 
-/// Draws one of the route's services by its weights, or null when it names
-/// none. Thread safety: safe with a generator of the caller's own.
+/// Draws one of the route's services by weight; null if it has none.
+/// Thread safety: safe with a generator of the caller's own.
 const ServiceShare* DrawService(const Route& route, Random& random);
 
 }  // namespace toucanwharf::routes
--- a/include/toucanwharf/routing/endpoints.h
+++ b/include/toucanwharf/routing/endpoints.h
@@ -10,8 +10,8 @@
 
 namespace toucanwharf::routing {
 
-/// Dense number of an endpoint inside one process. Decisions index arrays by
-/// it, so that their cost doesn't grow with the length of ids or the number of
+/// Dense number of an endpoint within one process. It indexes arrays, so that
+/// the cost of a decision doesn't grow with the length of ids or the number of
 /// endpoints.
 enum class Endpoint : std::uint32_t {};
 
@@ -20,16 +20,16 @@
   return static_cast<std::size_t>(endpoint);
 }
 
-/// Gives each endpoint id one number, which is never given out again.
+/// Assigns each endpoint id one number, which is never reused.
 /// Thread safety: none; for one thread.
 class EndpointNames {
  public:
-  /// Returns the number of \p id, a new one if it wasn't seen before.
+  /// Returns the number of \p id, a new one if it is unknown.
   Endpoint NumberOf(std::string_view id) {
-    const auto [at, added] = this->numbers.try_emplace(
+    const auto [entry, added] = this->numbers.try_emplace(
         std::string(id), static_cast<Endpoint>(this->ids.size()));
     if (added) this->ids.emplace_back(id);
-    return at->second;
+    return entry->second;
   }
 
   /// Returns the id of \p endpoint. Precondition: NumberOf() returned it.
@@ -37,7 +37,7 @@
     return this->ids[IndexOf(endpoint)];
   }
 
-  /// Returns how many numbers were given out.
+  /// Returns how many numbers were assigned.
   std::size_t size() const { return this->ids.size(); }
 
  private:
--- a/include/toucanwharf/routing/load_view.h
+++ b/include/toucanwharf/routing/load_view.h
@@ -9,18 +9,18 @@
 #include "toucanwharf/support/clock.h"
 
 /// \file
-/// What one router believes about the load of each endpoint: the endpoint's
-/// last report, corrected by the router's own work since that report.
+/// One router's estimate of the load of each endpoint: the endpoint's last
+/// report, corrected by the router's own work since that report.
 ///
-/// Pattern of load: reports lag by a few hundred milliseconds, in which a
-/// router places dozens of requests. Without the correction every request
-/// between two reports goes to the endpoint that looked idle, its queue grows
-/// far past its share, and the next report moves the whole stream elsewhere.
+/// Load: reports lag by a few hundred milliseconds, in which a router places
+/// dozens of requests. Without the correction every request between two reports
+/// goes to the endpoint that looked idle, its queue grows far past its share,
+/// and the next report moves all requests elsewhere.
 namespace toucanwharf::routing {
 
-/// What is known of an endpoint before it reports any load.
+/// Properties of an endpoint that are known before its first load report.
 struct EndpointSpec {
-  /// Sequences that the endpoint runs at once at full speed.
+  /// Sequences that the endpoint runs concurrently at full speed.
   std::uint32_t slots = 1;
   /// Time between two tokens of one sequence on the endpoint.
   Duration token_gap{20000};
@@ -31,54 +31,53 @@
   friend bool operator==(const EndpointSpec&, const EndpointSpec&) = default;
 };
 
-/// An endpoint's own statement of its load, true at `as_of`.
+/// Load as reported by an endpoint, valid at `as_of`.
 struct LoadReport {
   std::uint32_t running = 0;
   double queued_tokens = 0;
   double kv_tokens_free = 0;
-  /// On the reader's time scale: time of arrival less the report's age.
+  /// On the receiver's clock: time of arrival less the report's age.
   TimePoint as_of;
 
   friend bool operator==(const LoadReport&, const LoadReport&) = default;
 };
 
-/// Size of one request in tokens, as far as it is known or expected.
+/// Known or expected size of one request in tokens.
 struct Work {
   double prompt_tokens = 0;
   double output_tokens = 0;
-  /// Part of the prompt whose KV cache the endpoint holds already.
+  /// Part of the prompt that the endpoint already holds in its KV cache.
   double cached_tokens = 0;
 
-  /// Returns all tokens that the endpoint still has to process.
+  /// Returns all tokens that the endpoint has yet to process.
   double Tokens() const {
     return this->prompt_tokens - this->cached_tokens + this->output_tokens;
   }
-  /// Returns the KV memory that the request takes in the end, in tokens.
+  /// Returns the KV memory of the complete request, in tokens.
   double KvTokens() const { return this->prompt_tokens + this->output_tokens; }
   friend bool operator==(const Work&, const Work&) = default;
 };
 
-/// Load of all endpoints as one router sees it.
+/// Load of all endpoints as seen by one router.
 /// Thread safety: none; for one thread.
 class LoadView {
  public:
-  /// Learns of \p endpoint or changes what is known of it.
+  /// Adds \p endpoint or changes its specification.
   void Add(Endpoint endpoint, const EndpointSpec& spec);
 
-  /// Takes in a report. One that is older than the last is ignored: reports
-  /// reach a router on several ways and overtake each other.
+  /// Applies a report. One that is older than the last is ignored, as reports
+  /// reach a router over several paths and may be reordered.
   void Report(Endpoint endpoint, const LoadReport& report);
 
-  /// Notes that this router handed \p work to \p endpoint.
+  /// Records that this router sent \p work to \p endpoint.
   void Started(TimePoint now, Endpoint endpoint, const Work& work);
 
-  /// Notes the end of work handed over before, with the same \p work.
+  /// Records the end of work that was started with the same \p work.
   void Finished(TimePoint now, Endpoint endpoint, const Work& work);
 
-  /// Notes that a request took \p actual on \p endpoint where the view had
-  /// expected \p expected. A slow endpoint may report a healthy load, as its
-  /// queue is short because everything before it is late; only what callers
-  /// get shows it.
+  /// Records that a request took \p actual on \p endpoint where \p expected was
+  /// estimated. A slow endpoint may report a healthy load, since its queue is
+  /// short if everything before it is late; only the times of answers show it.
   /// Precondition: expected > 0.
   void Observed(Endpoint endpoint, Duration expected, Duration actual);
 
@@ -86,15 +85,15 @@
   /// queued / speed + prefill that isn't cached + link + tokens.
   Duration ExpectedFinish(Endpoint endpoint, const Work& work) const;
 
-  /// Returns the time of \p work on \p endpoint once it has a slot, link
-  /// included.
+  /// Returns the time of \p work on \p endpoint from the assignment of a slot,
+  /// link delays included.
   Duration ServiceTime(Endpoint endpoint, const Work& work) const;
 
   /// Returns the time that \p work would wait for a slot and for KV memory of
   /// \p endpoint.
   Duration ExpectedWait(Endpoint endpoint, const Work& work) const;
 
-  /// Returns sequences believed to be on the endpoint, waiting ones included.
+  /// Returns the estimated sequences on the endpoint, queued ones included.
   double Occupied(Endpoint endpoint) const;
 
   /// Returns Occupied() as a share of the slots.
@@ -103,13 +102,13 @@
   /// Returns free KV tokens: reported, less this router's work since.
   double KvFree(Endpoint endpoint) const;
 
-  /// Returns this router's requests on \p endpoint now.
+  /// Returns this router's requests in flight on \p endpoint.
   std::uint32_t InFlight(Endpoint endpoint) const;
 
-  /// Returns this router's requests on \p endpoint when it last reported.
+  /// Returns this router's requests on \p endpoint at its last report.
   std::uint32_t InFlightAtReport(Endpoint endpoint) const;
 
-  /// Returns requests (not tokens) that the endpoint reported as waiting.
+  /// Returns the requests (not tokens) that the endpoint reported as queued.
   double QueuedAtReport(Endpoint endpoint) const;
 
   /// Returns the KV tokens of InFlightAtReport().
@@ -118,11 +117,11 @@
   /// Returns the last report of \p endpoint.
   const LoadReport& LastReport(Endpoint endpoint) const;
 
-  /// Returns what Add() was told. Precondition: \p endpoint was added.
+  /// Returns the specification of \p endpoint. Precondition: it was added.
   const EndpointSpec& SpecOf(Endpoint endpoint) const;
 
  private:
-  /// Own change of load that the last report may not show yet.
+  /// Change of load by this router that the last report may not include.
   struct Change {
     TimePoint at;
     int requests = 0;
@@ -133,17 +132,17 @@
     EndpointSpec spec;
     LoadReport report;
     bool reported = false;
-    std::deque<Change> unseen;
-    int unseen_requests = 0;
-    double unseen_tokens = 0;
-    double unseen_kv_tokens = 0;
+    std::deque<Change> unreported;
+    int unreported_requests = 0;
+    double unreported_tokens = 0;
+    double unreported_kv_tokens = 0;
     std::uint32_t in_flight = 0;
     double slowdown = 1.0;
     double mean_tokens = 0;
     double kv_in_flight = 0;
   };
 
-  static void Note(Entry& entry, const Change& change);
+  static void RecordChange(Entry& entry, const Change& change);
   const Entry& At(Endpoint endpoint) const;
   Entry& At(Endpoint endpoint);
 
--- a/lib/admission/admission_controller.cc
+++ b/lib/admission/admission_controller.cc
@@ -8,19 +8,19 @@
 namespace {
 
 /// Bounds of Retry-After. Below a second a refused caller is back before the
-/// queue has moved; after a minute the estimate says nothing any more.
-constexpr Duration kLeastRetryAfter = std::chrono::seconds(1);
-constexpr Duration kMostRetryAfter = std::chrono::seconds(60);
-
-/// Part of the allowed wait up to which a request is let in. Under lasting
-/// overload the queue stands at this bound; at the whole of it every error of
-/// the estimate makes requests lapse after they waited: 159 in a minute at
-/// three times the load, against none at this part
+/// queue has moved; above a minute the estimate is meaningless.
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(60);
+
+/// Fraction of the allowed wait up to which a request is admitted. Under
+/// lasting overload the queue stays at this bound. With the whole allowed wait
+/// every error of the estimate makes requests expire in the queue: 159 in a
+/// minute at three times the load, against none at this fraction
 /// (admission_controller_test.cc).
-constexpr double kAdmitPart = 0.85;
+constexpr double kAdmitFraction = 0.85;
 
-/// Part by which Retry-After is spread, so that callers refused together don't
-/// return together.
+/// Fraction by which Retry-After is randomly extended, so that callers refused
+/// together don't return together.
 constexpr double kRetryJitter = 0.5;
 
 Duration Scale(Duration length, double factor) {
@@ -66,7 +66,7 @@
   this->loads.Add(endpoint, spec);
   this->ejection.Add(now, endpoint, fresh);
   this->limiter.Add(endpoint, spec.slots);
-  this->limiter.SetPart(endpoint, this->ejection.Ramp(now, endpoint));
+  this->limiter.SetLimitFactor(endpoint, this->ejection.Ramp(now, endpoint));
   this->best_prefill =
       std::max(this->best_prefill, spec.prefill_tokens_per_second);
   if (this->IsMember(endpoint)) return endpoint;
@@ -75,8 +75,8 @@
   this->is_member[routing::IndexOf(endpoint)] = true;
   this->tokens_per_second +=
       spec.slots / std::chrono::duration<double>(spec.token_gap).count();
-  this->queue.Drain().SetFirstGuess(this->tokens_per_second /
-                                    this->limiter.Routers());
+  this->queue.Drain().SetInitialRate(this->tokens_per_second /
+                                     this->limiter.Routers());
   return endpoint;
 }
 
@@ -100,8 +100,8 @@
   sample.running = last.running;
   sample.queued = this->loads.QueuedAtReport(endpoint);
   sample.memory_free = last.kv_tokens_free - last.queued_tokens;
-  sample.own = this->loads.InFlightAtReport(endpoint);
-  sample.own_memory = this->loads.KvInFlightAtReport(endpoint);
+  sample.in_flight = this->loads.InFlightAtReport(endpoint);
+  sample.in_flight_memory = this->loads.KvInFlightAtReport(endpoint);
   this->limiter.Reported(endpoint, sample);
 }
 
@@ -115,7 +115,7 @@
 }
 
 OfferResult AdmissionController::Offer(TimePoint now, const Request& request) {
-  assert(!this->requests.contains(request.id) && "ids are unique");
+  assert(!this->requests.contains(request.id) && "request id is in use");
   const Ticket ticket = this->MakeTicket(now, request);
   const Duration allowed = this->queue.AllowedWait(now, ticket);
   if (this->members.empty()) {
@@ -123,14 +123,14 @@
                    this->RetryAfter(now, request.customer, allowed)};
   }
   const auto wait = this->queue.ExpectedWait(now, ticket.customer, ticket.cost);
-  if (wait.value_or(Duration{0}) > Scale(allowed, kAdmitPart)) {
+  if (wait.value_or(Duration{0}) > Scale(allowed, kAdmitFraction)) {
     return Refusal{request.id, RefusalReason::kBacklog,
                    this->RetryAfter(now, request.customer, allowed)};
   }
-  Known known;
-  known.request = request;
-  known.ticket = ticket;
-  this->requests.emplace(request.id, std::move(known));
+  TrackedRequest tracked;
+  tracked.request = request;
+  tracked.ticket = ticket;
+  this->requests.emplace(request.id, std::move(tracked));
   this->queue.Push(now, ticket);
   return Waiting{wait.value_or(Duration{0})};
 }
@@ -139,9 +139,10 @@
   return this->Next(now,
                     [this](const Request& request, const routing::Work& work)
                         -> std::optional<std::vector<routing::Endpoint>> {
-                      const auto chosen = this->choice.Choose(
-                          this->limiter.WithRoom(), work, this->Cached(request),
-                          this->loads, this->random);
+                      const auto chosen =
+                          this->choice.Choose(this->limiter.Available(), work,
+                                              this->FindCachedPrefix(request),
+                                              this->loads, this->random);
                       if (!chosen) return std::nullopt;
                       return std::vector<routing::Endpoint>{*chosen};
                     });
@@ -150,19 +151,21 @@
 void AdmissionController::Progress(const std::string& id, double emitted) {
   const auto found = this->requests.find(id);
   if (found == this->requests.end()) return;
-  Known& known = found->second;
-  const double rest = ExpectedRest(known.work.output_tokens, emitted,
-                                   known.request.size.max_tokens);
-  const double cost = CostOf(known.request.size.prompt_tokens, emitted + rest);
-  if (cost <= known.charged) return;
-  this->queue.SharesOf().Correct(known.ticket.customer, cost - known.charged);
-  known.charged = cost;
+  TrackedRequest& tracked = found->second;
+  const double remaining = ExpectedRemaining(
+      tracked.work.output_tokens, emitted, tracked.request.size.max_tokens);
+  const double cost =
+      CostOf(tracked.request.size.prompt_tokens, emitted + remaining);
+  if (cost <= tracked.charged_cost) return;
+  this->queue.SharesOf().Correct(tracked.ticket.customer,
+                                 cost - tracked.charged_cost);
+  tracked.charged_cost = cost;
 }
 
 bool AdmissionController::Failed(TimePoint now, routing::Endpoint endpoint) {
   if (!this->IsMember(endpoint)) return false;
   const bool ejected = this->ejection.Failed(now, endpoint);
-  this->limiter.SetPart(endpoint, this->ejection.Ramp(now, endpoint));
+  this->limiter.SetLimitFactor(endpoint, this->ejection.Ramp(now, endpoint));
   return ejected;
 }
 
@@ -174,7 +177,7 @@
     TimePoint now, const std::string& id,
     const std::vector<routing::Endpoint>& endpoints) {
   const auto found = this->requests.find(id);
-  assert(found != this->requests.end() && "only what was offered can move");
+  assert(found != this->requests.end() && "rerouted request is unknown");
   this->Release(now, found->second, Outcome::kFailed);
   this->Occupy(now, found->second, endpoints);
 }
@@ -182,29 +185,31 @@
 void AdmissionController::Finished(TimePoint now, const std::string& id,
                                    Outcome outcome, double output_tokens) {
   const auto found = this->requests.find(id);
-  assert(found != this->requests.end() && "only what was offered can finish");
-  Known& known = found->second;
-  if (outcome == Outcome::kWhole) this->Observe(now, known, output_tokens);
-  this->Release(now, known, outcome);
-  const double cost = CostOf(known.request.size.prompt_tokens, output_tokens);
-  this->queue.SharesOf().Correct(known.ticket.customer, cost - known.charged);
+  assert(found != this->requests.end() && "finished request is unknown");
+  TrackedRequest& tracked = found->second;
+  if (outcome == Outcome::kWhole) this->Observe(now, tracked, output_tokens);
+  this->Release(now, tracked, outcome);
+  const double cost = CostOf(tracked.request.size.prompt_tokens, output_tokens);
+  this->queue.SharesOf().Correct(tracked.ticket.customer,
+                                 cost - tracked.charged_cost);
   if (outcome == Outcome::kWhole) {
-    this->costs.Learn(known.request.customer, output_tokens);
+    this->costs.RecordOutput(tracked.request.customer, output_tokens);
   }
   this->requests.erase(found);
 }
 
 bool AdmissionController::Requeue(TimePoint now, const std::string& id,
-                                  Outcome outcome, TryOutcome before,
+                                  Outcome outcome, PriorAttempt prior,
                                   bool idempotent) {
   const auto found = this->requests.find(id);
-  assert(found != this->requests.end() && "only what was offered can return");
-  if (!this->retries.TakeRetry(now, before, idempotent)) return false;
-  Known& known = found->second;
-  this->Release(now, known, outcome);
-  this->queue.SharesOf().Correct(known.ticket.customer, -known.charged);
-  known.charged = 0;
-  this->queue.Push(now, known.ticket);
+  assert(found != this->requests.end() && "requeued request is unknown");
+  if (!this->retries.TakeRetry(now, prior, idempotent)) return false;
+  TrackedRequest& tracked = found->second;
+  this->Release(now, tracked, outcome);
+  this->queue.SharesOf().Correct(tracked.ticket.customer,
+                                 -tracked.charged_cost);
+  tracked.charged_cost = 0;
+  this->queue.Push(now, tracked.ticket);
   return true;
 }
 
@@ -216,12 +221,12 @@
 
 std::vector<Refusal> AdmissionController::Tick(TimePoint now) {
   for (const routing::Endpoint endpoint : this->members) {
-    this->limiter.SetPart(endpoint, this->ejection.Ramp(now, endpoint));
+    this->limiter.SetLimitFactor(endpoint, this->ejection.Ramp(now, endpoint));
   }
   this->queue.SharesOf().Tick(now);
-  this->TakePartOfPool();
+  this->UpdatePoolShare();
   std::vector<Refusal> refusals;
-  for (const Ticket& ticket : this->queue.TakeLapsed(now)) {
+  for (const Ticket& ticket : this->queue.TakeExpired(now)) {
     const std::string customer = this->requests.at(ticket.id).request.customer;
     refusals.push_back(Refusal{ticket.id, RefusalReason::kDeadline,
                                this->RetryAfter(now, customer, Duration{0})});
@@ -230,14 +235,14 @@
   return refusals;
 }
 
-void AdmissionController::TakePartOfPool() {
-  // Until every other router was heard its use would be missing from the sum:
-  // each router would hold itself entitled to all, and together they would
-  // send the endpoints several times what these can run.
+void AdmissionController::UpdatePoolShare() {
+  // Until every other router has reported, its use is missing from the sum:
+  // each router would consider itself entitled to all, and together they would
+  // send the endpoints several times their capacity.
   const Shares& shares = this->queue.SharesOf();
   if (shares.PeerCount() + 1 < this->limiter.Routers()) return;
-  const auto part = shares.PartOfPool();
-  if (part) this->limiter.SetPartOfPool(*part);
+  const auto part = shares.PoolShare();
+  if (part) this->limiter.SetPoolShare(*part);
 }
 
 Duration AdmissionController::RetryAfter(TimePoint now,
@@ -246,15 +251,15 @@
   const CustomerNumber number = this->queue.SharesOf().NumberOf(customer);
   const Duration wait =
       this->queue.ExpectedWait(now, number, 0).value_or(Duration{0});
-  // Back when half of what the request may wait is queued: at the very moment
-  // that it would just fit, others have taken the place.
+  // The caller returns when half of its allowed wait is queued: as soon as it
+  // would just fit, others have taken the capacity.
   const Duration drained = wait - Scale(std::max(allowed, Duration{0}), 0.5);
-  const Duration base = std::clamp(drained, kLeastRetryAfter, kMostRetryAfter);
+  const Duration base = std::clamp(drained, kMinRetryAfter, kMaxRetryAfter);
   return Scale(base, 1.0 + kRetryJitter * this->random.Unit());
 }
 
 const Ticket* AdmissionController::NextTicket() const {
-  if (this->limiter.WithRoom().empty()) return nullptr;
+  if (this->limiter.Available().empty()) return nullptr;
   return this->queue.Front();
 }
 
@@ -274,64 +279,64 @@
   ticket.arrived = now;
   ticket.deadline = request.deadline;
   if (this->best_prefill > 0) {
-    ticket.least_service =
+    ticket.min_service_time =
         FromSeconds(request.size.prompt_tokens / this->best_prefill);
   }
   return ticket;
 }
 
-std::optional<Dispatch> AdmissionController::HandOver(
+std::optional<Dispatch> AdmissionController::DispatchRequest(
     TimePoint now, const std::string& id,
     const std::vector<routing::Endpoint>& endpoints,
     const routing::Work& work) {
-  Known& known = this->requests.at(id);
-  known.work = work;
-  known.handed_over = now;
-  known.charged = known.ticket.cost;
-  this->Occupy(now, known, endpoints);
-  // Only first tries feed the budget: retries that fed it would pay for more
+  TrackedRequest& tracked = this->requests.at(id);
+  tracked.work = work;
+  tracked.dispatched_at = now;
+  tracked.charged_cost = tracked.ticket.cost;
+  this->Occupy(now, tracked, endpoints);
+  // Only first attempts fill the budget: retries that did would pay for more
   // retries.
-  if (!known.tried) this->retries.FirstTry(now);
-  known.tried = true;
-  this->queue.Take(now, known.ticket.id);
-  return Dispatch{known.ticket.id, endpoints, work};
+  if (!tracked.attempted) this->retries.OnFirstAttempt(now);
+  tracked.attempted = true;
+  this->queue.Take(now, tracked.ticket.id);
+  return Dispatch{tracked.ticket.id, endpoints, work};
 }
 
 void AdmissionController::Occupy(
-    TimePoint now, Known& known,
+    TimePoint now, TrackedRequest& tracked,
     const std::vector<routing::Endpoint>& endpoints) {
-  known.endpoints.clear();
+  tracked.endpoints.clear();
   for (const routing::Endpoint endpoint : endpoints) {
-    // A planner may use an endpoint that has just left the pool.
+    // The planner may return an endpoint that has just left the pool.
     if (!this->IsMember(endpoint)) continue;
-    known.endpoints.push_back(endpoint);
-    this->loads.Started(now, endpoint, known.work);
-    this->limiter.Started(endpoint, known.work.KvTokens());
+    tracked.endpoints.push_back(endpoint);
+    this->loads.Started(now, endpoint, tracked.work);
+    this->limiter.Started(endpoint, tracked.work.KvTokens());
   }
 }
 
-void AdmissionController::Release(TimePoint now, Known& known,
+void AdmissionController::Release(TimePoint now, TrackedRequest& tracked,
                                   Outcome outcome) {
-  for (const routing::Endpoint endpoint : known.endpoints) {
-    this->loads.Finished(now, endpoint, known.work);
-    this->limiter.Finished(endpoint, known.work.KvTokens());
+  for (const routing::Endpoint endpoint : tracked.endpoints) {
+    this->loads.Finished(now, endpoint, tracked.work);
+    this->limiter.Finished(endpoint, tracked.work.KvTokens());
     if (outcome == Outcome::kRefused) this->limiter.Refused(endpoint);
     if (outcome == Outcome::kWhole) this->ejection.Succeeded(now, endpoint);
   }
-  known.endpoints.clear();
+  tracked.endpoints.clear();
 }
 
-void AdmissionController::Observe(TimePoint now, const Known& known,
+void AdmissionController::Observe(TimePoint now, const TrackedRequest& tracked,
                                   double output_tokens) {
-  routing::Work work = known.work;
+  routing::Work work = tracked.work;
   work.output_tokens = output_tokens;
   Duration expected{0};
-  for (const routing::Endpoint endpoint : known.endpoints) {
+  for (const routing::Endpoint endpoint : tracked.endpoints) {
     expected += this->loads.ServiceTime(endpoint, work);
   }
   if (expected.count() <= 0) return;
-  for (const routing::Endpoint endpoint : known.endpoints) {
-    this->loads.Observed(endpoint, expected, now - known.handed_over);
+  for (const routing::Endpoint endpoint : tracked.endpoints) {
+    this->loads.Observed(endpoint, expected, now - tracked.dispatched_at);
   }
 }
 
@@ -340,7 +345,7 @@
   return index < this->is_member.size() && this->is_member[index];
 }
 
-std::optional<routing::CachedAt> AdmissionController::Cached(
+std::optional<routing::CachedPrefix> AdmissionController::FindCachedPrefix(
     const Request& request) const {
   if (request.prefixes.empty()) return std::nullopt;
   return this->prefixes.Find(
--- a/lib/admission/limiter.cc
+++ b/lib/admission/limiter.cc
@@ -7,20 +7,21 @@
 namespace toucanwharf::admission {
 namespace {
 
-/// Weight of one more request in the mean of memory taken.
+/// Weight of the newest request in the mean KV memory.
 constexpr double kSmoothing = 0.1;
 
 }  // namespace
 
 void Limiter::SetRouters(std::uint32_t routers) {
-  assert(routers > 0 && "this router is one of them");
+  assert(routers > 0 && "routers include this one");
   this->settings.routers = routers;
 }
 
-void Limiter::SetPartOfPool(double part) {
-  // A little of an equal part is kept for work of which no use is known yet.
-  constexpr double kEqual = 0.1;
-  this->part_of_pool = part * (1 - kEqual) + kEqual / this->settings.routers;
+void Limiter::SetPoolShare(double share) {
+  // A small equal share is reserved for work without known use so far.
+  constexpr double kReservedShare = 0.1;
+  this->pool_share =
+      share * (1 - kReservedShare) + kReservedShare / this->settings.routers;
 }
 
 void Limiter::Add(routing::Endpoint endpoint, std::uint32_t slots) {
@@ -28,12 +29,12 @@
     this->entries.resize(routing::IndexOf(endpoint) + 1);
   }
   Entry& entry = this->At(endpoint);
-  const bool fresh = !entry.known;
+  const bool is_new = !entry.known;
   entry.known = true;
-  if (fresh) {
+  if (is_new) {
     entry.slots = slots;
-    entry.claim = this->PartOfPool();
-    entry.limit = this->FairPart(entry);
+    entry.claim = this->PoolShare();
+    entry.limit = this->FairShare(entry);
   }
   this->Update(endpoint);
 }
@@ -44,8 +45,8 @@
   this->Update(endpoint);
 }
 
-void Limiter::SetPart(routing::Endpoint endpoint, double part) {
-  this->At(endpoint).part = part;
+void Limiter::SetLimitFactor(routing::Endpoint endpoint, double factor) {
+  this->At(endpoint).limit_factor = factor;
   this->Update(endpoint);
 }
 
@@ -56,20 +57,22 @@
   const double target =
       sample.slots + this->settings.backlog * this->settings.routers;
   const double free = target - sample.running - sample.queued;
-  const double least_claim = 1.0 / this->settings.routers;
-  // A queue means that all routers together claimed too much. Slots left free
-  // though they were offered mean that some routers have nothing to send.
-  const bool full = free < 0 || sample.memory_free < 0;
+  const double min_claim = 1.0 / this->settings.routers;
+  // A queue means that all routers together claimed too much. Slots that stay
+  // free though they were offered mean that some routers have nothing to send.
+  const bool overcommitted = free < 0 || sample.memory_free < 0;
   const bool idle = sample.running + 1 <= sample.slots && sample.queued < 1 &&
                     sample.memory_free > 2 * entry.mean_memory;
-  if (full) entry.claim /= 2;
+  if (overcommitted) entry.claim /= 2;
   if (idle) entry.claim *= 2;
-  entry.claim = std::clamp(entry.claim, least_claim, 1.0);
-  entry.limit = std::max(sample.own + free * (free > 0 ? entry.claim : 1.0),
-                         this->FairPart(entry));
+  entry.claim = std::clamp(entry.claim, min_claim, 1.0);
+  entry.limit =
+      std::max(sample.in_flight + free * (free > 0 ? entry.claim : 1.0),
+               this->FairShare(entry));
   const double memory_part = sample.memory_free > 0 ? entry.claim : 1.0;
-  entry.memory_limit = std::max(
-      sample.own_memory + sample.memory_free * memory_part, entry.mean_memory);
+  entry.memory_limit =
+      std::max(sample.in_flight_memory + sample.memory_free * memory_part,
+               entry.mean_memory);
   this->Update(endpoint);
 }
 
@@ -84,7 +87,7 @@
 
 void Limiter::Finished(routing::Endpoint endpoint, double memory) {
   Entry& entry = this->At(endpoint);
-  assert(entry.in_flight > 0 && "only work that was started can finish");
+  assert(entry.in_flight > 0 && "no work in flight");
   --entry.in_flight;
   entry.memory = entry.in_flight == 0 ? 0 : entry.memory - memory;
   entry.refused = false;
@@ -98,43 +101,43 @@
 
 bool Limiter::HasRoom(routing::Endpoint endpoint) const {
   return routing::IndexOf(endpoint) < this->entries.size() &&
-         this->At(endpoint).place != 0;
+         this->At(endpoint).available_index != 0;
 }
 
 double Limiter::LimitOf(routing::Endpoint endpoint) const {
-  return Allowed(this->At(endpoint));
+  return EffectiveLimit(this->At(endpoint));
 }
 
 Limiter::Entry& Limiter::At(routing::Endpoint endpoint) {
   assert(routing::IndexOf(endpoint) < this->entries.size() &&
-         "endpoint was added");
+         "endpoint is unknown");
   return this->entries[routing::IndexOf(endpoint)];
 }
 
 const Limiter::Entry& Limiter::At(routing::Endpoint endpoint) const {
   assert(routing::IndexOf(endpoint) < this->entries.size() &&
-         "endpoint was added");
+         "endpoint is unknown");
   return this->entries[routing::IndexOf(endpoint)];
 }
 
-double Limiter::PartOfPool() const {
-  return this->part_of_pool.value_or(1.0 / this->settings.routers);
+double Limiter::PoolShare() const {
+  return this->pool_share.value_or(1.0 / this->settings.routers);
 }
 
-/// Every router keeps at least this, so that one which starts late isn't shut
-/// out by those that already fill the endpoint.
-double Limiter::FairPart(const Entry& entry) const {
-  const double part = entry.slots * this->PartOfPool();
-  return std::max(std::round(part), 1.0);
+/// Every router keeps at least this, so that one that starts late isn't
+/// excluded by those that already fill the endpoint.
+double Limiter::FairShare(const Entry& entry) const {
+  const double share = entry.slots * this->PoolShare();
+  return std::max(std::round(share), 1.0);
 }
 
-double Limiter::Allowed(const Entry& entry) {
-  if (!entry.known || entry.refused || entry.part <= 0) return 0;
-  return std::max(entry.limit * entry.part, 1.0);
+double Limiter::EffectiveLimit(const Entry& entry) {
+  if (!entry.known || entry.refused || entry.limit_factor <= 0) return 0;
+  return std::max(entry.limit * entry.limit_factor, 1.0);
 }
 
-bool Limiter::Fits(const Entry& entry) const {
-  if (entry.in_flight + 1 > Allowed(entry) + 1e-9) return false;
+bool Limiter::AdmitsOneMore(const Entry& entry) const {
+  if (entry.in_flight + 1 > EffectiveLimit(entry) + 1e-9) return false;
   if (entry.in_flight == 0) return true;
   const double more = entry.mean_memory * this->settings.memory_part;
   return entry.memory + more <= entry.memory_limit;
@@ -142,18 +145,18 @@
 
 void Limiter::Update(routing::Endpoint endpoint) {
   Entry& entry = this->At(endpoint);
-  const bool has_room = this->Fits(entry);
-  if (has_room == (entry.place != 0)) return;
-  if (has_room) {
-    this->room.push_back(endpoint);
-    entry.place = this->room.size();
+  const bool admits = this->AdmitsOneMore(entry);
+  if (admits == (entry.available_index != 0)) return;
+  if (admits) {
+    this->available.push_back(endpoint);
+    entry.available_index = this->available.size();
     return;
   }
-  const routing::Endpoint last = this->room.back();
-  this->room[entry.place - 1] = last;
-  this->At(last).place = entry.place;
-  this->room.pop_back();
-  entry.place = 0;
+  const routing::Endpoint last = this->available.back();
+  this->available[entry.available_index - 1] = last;
+  this->At(last).available_index = entry.available_index;
+  this->available.pop_back();
+  entry.available_index = 0;
 }
 
 }  // namespace toucanwharf::admission
--- a/lib/admission/queue.cc
+++ b/lib/admission/queue.cc
@@ -7,9 +7,9 @@
 namespace toucanwharf::admission {
 namespace {
 
-/// Customers looked at for the earliest deadline. Bounds the cost of a
-/// decision; with more equals than these shares alone decide.
-constexpr int kMostEquals = 8;
+/// Customers considered for the earliest deadline. Bounds the cost of a
+/// decision; among more equal ones the shares alone decide.
+constexpr int kMaxEqualCustomers = 8;
 
 std::size_t IndexOf(CustomerNumber customer) {
   return static_cast<std::size_t>(customer);
@@ -20,8 +20,8 @@
       std::chrono::duration<double>(seconds));
 }
 
-/// A wait that nothing bounds, as no endpoint takes work.
-constexpr double kEndlessSeconds = 3600;
+/// Expected wait if no endpoint takes work, and upper bound of any estimate.
+constexpr double kMaxExpectedSeconds = 3600;
 
 }  // namespace
 
@@ -29,26 +29,27 @@
                                                 CustomerNumber customer,
                                                 double cost) const {
   if (this->tickets.empty()) return Duration{0};
-  if (!this->drain.Known()) return std::nullopt;
+  if (!this->drain.HasRate()) return std::nullopt;
   const double rate = this->drain.Rate(now);
-  if (rate <= 0) return FromSeconds(kEndlessSeconds);
+  if (rate <= 0) return FromSeconds(kMaxExpectedSeconds);
 
-  const Lanes* own = this->LanesOf(customer);
-  const Class own_class = this->ClassOf(cost);
+  const Lanes* customer_lanes = this->LanesOf(customer);
+  const Class work_class = this->ClassOf(cost);
   double ahead = 0;
   bool active = false;
-  if (own != nullptr) {
-    const double same = (*own)[own_class].cost;
-    const double other = (*own)[1 - own_class].cost;
-    // The lanes take turns: at most as much of the other goes first.
+  if (customer_lanes != nullptr) {
+    const double same = (*customer_lanes)[work_class].cost;
+    const double other = (*customer_lanes)[1 - work_class].cost;
+    // The lanes alternate: at most an equal amount of the other goes first.
     ahead = same + std::min(same, other);
     active = same + other > 0;
   }
   const double weight = this->shares.WeightOf(customer);
-  const double all = this->shares.ActiveWeight() + (active ? 0 : weight);
-  const double by_share = ahead / (rate * weight / all);
+  const double total_weight =
+      this->shares.ActiveWeight() + (active ? 0 : weight);
+  const double by_share = ahead / (rate * weight / total_weight);
   const double by_backlog = this->backlog / rate;
-  return FromSeconds(std::min({by_share, by_backlog, kEndlessSeconds}));
+  return FromSeconds(std::min({by_share, by_backlog, kMaxExpectedSeconds}));
 }
 
 Duration FairQueue::AllowedWait(TimePoint now, const Ticket& ticket) const {
@@ -56,16 +57,16 @@
 }
 
 void FairQueue::Push(TimePoint now, const Ticket& ticket) {
-  assert(!this->tickets.contains(ticket.id) && "a request waits only once");
+  assert(!this->tickets.contains(ticket.id) && "request is already queued");
   if (IndexOf(ticket.customer) >= this->lanes.size()) {
     this->lanes.resize(IndexOf(ticket.customer) + 1);
   }
-  Lanes& own = this->lanes[IndexOf(ticket.customer)];
-  const Class own_class = this->ClassOf(ticket.cost);
-  Lane& lane = own[own_class];
+  Lanes& customer_lanes = this->lanes[IndexOf(ticket.customer)];
+  const Class work_class = this->ClassOf(ticket.cost);
+  Lane& lane = customer_lanes[work_class];
   if (lane.order.empty()) {
-    // A lane that was empty doesn't save up turns.
-    lane.served = std::max(lane.served, own[1 - own_class].served);
+    // An empty lane doesn't accumulate turns.
+    lane.served = std::max(lane.served, customer_lanes[1 - work_class].served);
   }
   lane.order.emplace(ticket.deadline, ticket.id);
   lane.cost += ticket.cost;
@@ -73,7 +74,7 @@
   this->by_latest_start.emplace(this->LatestStart(ticket), ticket.id);
   this->tickets.emplace(ticket.id, ticket);
   this->shares.Activate(ticket.customer);
-  this->drain.Waiting(now, true);
+  this->drain.SetWaiting(now, true);
 }
 
 const Ticket* FairQueue::Front() const {
@@ -81,11 +82,11 @@
   if (turns.empty()) return nullptr;
   const double first = turns.begin()->first;
   const Ticket* best = nullptr;
-  int seen = 0;
+  int considered = 0;
   for (const auto& [tag, customer] : turns) {
     const double slack =
         this->settings.turn_slack / this->shares.WeightOf(customer);
-    if (++seen > kMostEquals || tag > first + slack) break;
+    if (++considered > kMaxEqualCustomers || tag > first + slack) break;
     const Ticket& head = this->HeadOf(customer);
     if (best == nullptr || head.deadline < best->deadline) best = &head;
   }
@@ -94,12 +95,12 @@
 
 Ticket FairQueue::Take(TimePoint now, const std::string& id) {
   const auto found = this->tickets.find(id);
-  assert(found != this->tickets.end() && "only what waits can be taken");
+  assert(found != this->tickets.end() && "request is not queued");
   const CustomerNumber customer = found->second.customer;
   const double cost = found->second.cost;
   this->shares.Charge(customer, cost);
   this->lanes[IndexOf(customer)][this->ClassOf(cost)].served += cost;
-  this->drain.Took(now, cost);
+  this->drain.RecordTaken(now, cost);
   return this->Remove(now, id);
 }
 
@@ -109,14 +110,14 @@
   return true;
 }
 
-std::vector<Ticket> FairQueue::TakeLapsed(TimePoint now) {
-  std::vector<Ticket> lapsed;
+std::vector<Ticket> FairQueue::TakeExpired(TimePoint now) {
+  std::vector<Ticket> expired;
   while (!this->by_latest_start.empty() &&
          this->by_latest_start.begin()->first < now) {
     const std::string id = this->by_latest_start.begin()->second;
-    lapsed.push_back(this->Remove(now, id));
+    expired.push_back(this->Remove(now, id));
   }
-  return lapsed;
+  return expired;
 }
 
 FairQueue::Class FairQueue::ClassOf(double cost) const {
@@ -129,11 +130,11 @@
 }
 
 const FairQueue::Lane& FairQueue::NextLane(const Lanes& lanes) {
-  const Lane& brief = lanes[kShort];
-  const Lane& extended = lanes[kLong];
-  if (brief.order.empty()) return extended;
-  if (extended.order.empty()) return brief;
-  return brief.served <= extended.served ? brief : extended;
+  const Lane& short_lane = lanes[kShort];
+  const Lane& long_lane = lanes[kLong];
+  if (short_lane.order.empty()) return long_lane;
+  if (long_lane.order.empty()) return short_lane;
+  return short_lane.served <= long_lane.served ? short_lane : long_lane;
 }
 
 const Ticket& FairQueue::HeadOf(CustomerNumber customer) const {
@@ -145,23 +146,25 @@
   const auto found = this->tickets.find(id);
   Ticket ticket = std::move(found->second);
   this->tickets.erase(found);
-  Lanes& own = this->lanes[IndexOf(ticket.customer)];
-  Lane& lane = own[this->ClassOf(ticket.cost)];
+  Lanes& customer_lanes = this->lanes[IndexOf(ticket.customer)];
+  Lane& lane = customer_lanes[this->ClassOf(ticket.cost)];
   lane.order.erase({ticket.deadline, ticket.id});
   lane.cost = lane.order.empty() ? 0 : lane.cost - ticket.cost;
   this->backlog = this->tickets.empty() ? 0 : this->backlog - ticket.cost;
   this->by_latest_start.erase({this->LatestStart(ticket), ticket.id});
-  if (own[kShort].order.empty() && own[kLong].order.empty()) {
+  if (customer_lanes[kShort].order.empty() &&
+      customer_lanes[kLong].order.empty()) {
     this->shares.Deactivate(ticket.customer);
   }
-  this->drain.Waiting(now, !this->tickets.empty());
+  this->drain.SetWaiting(now, !this->tickets.empty());
   return ticket;
 }
 
 TimePoint FairQueue::LatestStart(const Ticket& ticket) const {
-  const Duration reserved = ticket.least_service + this->settings.handover;
+  const Duration reserved =
+      ticket.min_service_time + this->settings.dispatch_reserve;
   return std::min(ticket.deadline - reserved,
-                  ticket.arrived + this->settings.longest_wait);
+                  ticket.arrived + this->settings.max_wait);
 }
 
 }  // namespace toucanwharf::admission
--- a/lib/admission/shares.cc
+++ b/lib/admission/shares.cc
@@ -6,11 +6,11 @@
 namespace toucanwharf::admission {
 namespace {
 
-/// Weight of a peer's newest rate against its earlier ones.
+/// Weight of the newest rate against earlier ones.
 constexpr double kRateSmoothing = 0.3;
 
-/// Time over which an instance rates its own use: a gossip period, so that own
-/// and remote rates are of the same age.
+/// Period of the local rates: a gossip period, so that local and remote rates
+/// have the same age.
 constexpr Duration kRatePeriod = std::chrono::milliseconds(500);
 
 std::size_t IndexOf(CustomerNumber customer) {
@@ -24,7 +24,7 @@
 }  // namespace
 
 CustomerNumber Shares::NumberOf(std::string_view customer) {
-  const auto [at, added] = this->numbers.try_emplace(
+  const auto [number, added] = this->numbers.try_emplace(
       std::string(customer), static_cast<CustomerNumber>(this->entries.size()));
   if (added) {
     Entry entry;
@@ -32,7 +32,7 @@
     entry.tag = this->virtual_time;
     this->entries.push_back(std::move(entry));
   }
-  return at->second;
+  return number->second;
 }
 
 const std::string& Shares::NameOf(CustomerNumber customer) const {
@@ -40,7 +40,7 @@
 }
 
 void Shares::SetWeight(CustomerNumber customer, double weight) {
-  assert(weight > 0 && "a weight is positive");
+  assert(weight > 0 && "weight is not positive");
   Entry& entry = this->At(customer);
   if (entry.active) this->active_weight += weight - entry.weight;
   entry.weight = weight;
@@ -71,19 +71,20 @@
   Entry& entry = this->At(customer);
   entry.served += cost;
   entry.total = std::max(entry.total, entry.served);
-  // Virtual time is the smallest start tag of those that wait: it follows the
-  // customer whose turn it is, not one that was taken ahead for its deadline.
+  // Virtual time is the minimum start tag of the customers with queued work: it
+  // follows the next customer in order, not one that was served earlier for its
+  // deadline.
   const double front =
       this->turns.empty() ? entry.tag : this->turns.begin()->first;
   this->virtual_time = std::max(this->virtual_time, front);
-  this->Move(customer, entry.tag + cost / entry.weight);
+  this->SetTag(customer, entry.tag + cost / entry.weight);
 }
 
 void Shares::Correct(CustomerNumber customer, double difference) {
   Entry& entry = this->At(customer);
   entry.served += difference;
   entry.total = std::max(entry.total, entry.served);
-  this->Move(customer, entry.tag + difference / entry.weight);
+  this->SetTag(customer, entry.tag + difference / entry.weight);
 }
 
 Usage Shares::Served() const {
@@ -96,77 +97,78 @@
 
 void Shares::MergePeerUsage(TimePoint now, const std::string& peer,
                             const Usage& usage) {
-  Peer& from = this->peers[peer];
-  const double past = std::max(Seconds(now - from.heard), 1e-3);
+  Peer& source = this->peers[peer];
+  const double elapsed = std::max(Seconds(now - source.last_report), 1e-3);
   for (const auto& [name, served] : usage.served) {
-    PeerUsage& last = from.customers[name];
-    // A smaller total than before: the peer restarted and counts anew.
+    PeerUsage& last = source.customers[name];
+    // A total lower than the last: the peer restarted and counts from zero.
     const bool restarted = served < last.served;
-    const double more = restarted ? served : served - last.served;
+    const double increase = restarted ? served : served - last.served;
     last.served = served;
-    if (!from.known) continue;
-    const double rate = more / past;
+    if (!source.has_reported) continue;
+    const double rate = increase / elapsed;
     last.tokens_per_second += kRateSmoothing * (rate - last.tokens_per_second);
-    // What was charged while the peer was silent was its expected rate; the
-    // rest of the difference is charged now.
-    const double already = last.tokens_per_second *
-                           std::max(Seconds(from.charged - from.heard), 0.0);
-    this->ChargeRemote(name, std::max(more - already, 0.0));
+    // While the peer was unresponsive, its last rate was charged; the rest of
+    // the difference is charged now.
+    const double already_charged =
+        last.tokens_per_second *
+        std::max(Seconds(source.charged_until - source.last_report), 0.0);
+    this->ChargeRemote(name, std::max(increase - already_charged, 0.0));
   }
-  from.known = true;
-  from.heard = now;
-  from.charged = now;
+  source.has_reported = true;
+  source.last_report = now;
+  source.charged_until = now;
 }
 
 void Shares::Tick(TimePoint now) {
-  this->RateOwn(now);
+  this->UpdateLocalRates(now);
   for (auto& [name, peer] : this->peers) {
-    const Duration silent = now - peer.heard;
-    if (silent <= this->settings.silence) continue;
-    if (silent > this->settings.charge_on) continue;
-    // The peer can't be heard, but most likely still serves: without the
-    // charge each side of a partition would give a large customer a whole
-    // share again.
-    const double past = Seconds(now - peer.charged);
-    peer.charged = now;
+    const Duration unresponsive_for = now - peer.last_report;
+    if (unresponsive_for <= this->settings.peer_timeout) continue;
+    if (unresponsive_for > this->settings.max_charge_time) continue;
+    // The peer is unresponsive, but most likely still serves: without the
+    // charge each side of a partition would give a large customer a whole share
+    // again.
+    const double elapsed = Seconds(now - peer.charged_until);
+    peer.charged_until = now;
     for (const auto& [customer, usage] : peer.customers) {
-      this->ChargeRemote(customer, usage.tokens_per_second * past);
+      this->ChargeRemote(customer, usage.tokens_per_second * elapsed);
     }
   }
 }
 
-std::optional<double> Shares::PartOfPool() const {
+std::optional<double> Shares::PoolShare() const {
   const std::vector<double> remote = this->RemoteRates();
-  double all_rates = 0;
-  double all_weights = 0;
-  for (std::size_t at = 0; at < this->entries.size(); ++at) {
-    const double rate = this->entries[at].tokens_per_second + remote[at];
+  double total_rate = 0;
+  double total_weight = 0;
+  for (std::size_t index = 0; index < this->entries.size(); ++index) {
+    const double rate = this->entries[index].tokens_per_second + remote[index];
     if (rate <= 0) continue;
-    all_rates += rate;
-    all_weights += this->entries[at].weight;
+    total_rate += rate;
+    total_weight += this->entries[index].weight;
   }
-  if (all_rates <= 0) return std::nullopt;
-  const double level = all_rates / all_weights;
-  double own = 0;
-  double all = 0;
-  for (std::size_t at = 0; at < this->entries.size(); ++at) {
-    const Entry& entry = this->entries[at];
-    const double rate = entry.tokens_per_second + remote[at];
+  if (total_rate <= 0) return std::nullopt;
+  const double mean_rate_by_weight = total_rate / total_weight;
+  double local_entitled = 0;
+  double total_entitled = 0;
+  for (std::size_t index = 0; index < this->entries.size(); ++index) {
+    const Entry& entry = this->entries[index];
+    const double rate = entry.tokens_per_second + remote[index];
     if (rate <= 0) continue;
-    const double entitled = std::min(rate, level * entry.weight);
-    own += entitled * entry.tokens_per_second / rate;
-    all += entitled;
+    const double entitled = std::min(rate, mean_rate_by_weight * entry.weight);
+    local_entitled += entitled * entry.tokens_per_second / rate;
+    total_entitled += entitled;
   }
-  return own / all;
+  return local_entitled / total_entitled;
 }
 
-void Shares::RateOwn(TimePoint now) {
-  const Duration past = now - this->rated_at;
-  if (past < kRatePeriod) return;
-  this->rated_at = now;
+void Shares::UpdateLocalRates(TimePoint now) {
+  const Duration elapsed = now - this->last_rating;
+  if (elapsed < kRatePeriod) return;
+  this->last_rating = now;
   for (Entry& entry : this->entries) {
-    const double rate = (entry.total - entry.rated) / Seconds(past);
-    entry.rated = entry.total;
+    const double rate = (entry.total - entry.rated_total) / Seconds(elapsed);
+    entry.rated_total = entry.total;
     entry.tokens_per_second +=
         kRateSmoothing * (rate - entry.tokens_per_second);
   }
@@ -187,16 +189,16 @@
 void Shares::Forget(const std::string& peer) { this->peers.erase(peer); }
 
 Shares::Entry& Shares::At(CustomerNumber customer) {
-  assert(IndexOf(customer) < this->entries.size() && "NumberOf() gave it");
+  assert(IndexOf(customer) < this->entries.size() && "customer is unknown");
   return this->entries[IndexOf(customer)];
 }
 
 const Shares::Entry& Shares::At(CustomerNumber customer) const {
-  assert(IndexOf(customer) < this->entries.size() && "NumberOf() gave it");
+  assert(IndexOf(customer) < this->entries.size() && "customer is unknown");
   return this->entries[IndexOf(customer)];
 }
 
-void Shares::Move(CustomerNumber customer, double tag) {
+void Shares::SetTag(CustomerNumber customer, double tag) {
   Entry& entry = this->At(customer);
   if (entry.active) {
     this->turns.erase({entry.tag, customer});
@@ -210,8 +212,9 @@
   const Entry& entry = this->At(number);
   const double limit = this->virtual_time + this->settings.max_debt;
   const double owed = entry.tag + tokens / entry.weight;
-  // A debt that local work made may exceed the bound; remote work adds none.
-  this->Move(number, std::max(entry.tag, std::min(owed, limit)));
+  // A debt from local work may exceed the bound; remote work adds none beyond
+  // it.
+  this->SetTag(number, std::max(entry.tag, std::min(owed, limit)));
 }
 
 }  // namespace toucanwharf::admission
--- a/lib/attempts/arrival_budget.cc
+++ b/lib/attempts/arrival_budget.cc
@@ -5,8 +5,8 @@
 namespace toucanwharf::attempts {
 namespace {
 
-/// Slices of a window; a slice too many is counted, so that the bound holds
-/// for every position of the window.
+/// Slices of a window. One slice more than a window is counted, so that the
+/// bound holds for every position of the window.
 constexpr int kSlices = 20;
 
 }  // namespace
@@ -16,10 +16,10 @@
   Slices& slices = this->services[service];
   const Duration length = this->settings.window / kSlices;
   while (!slices.empty() &&
-         now - slices.front().begun > this->settings.window + length) {
+         now - slices.front().start > this->settings.window + length) {
     slices.pop_front();
   }
-  if (slices.empty() || now - slices.back().begun >= length) {
+  if (slices.empty() || now - slices.back().start >= length) {
     slices.push_back(Slice{now, 0, 0});
   }
   return slices.back();
@@ -29,13 +29,13 @@
   ++this->Current(service, now).requests;
 }
 
-double ArrivalBudget::Share(TimePoint now) const {
+double ArrivalBudget::UsableShare(TimePoint now) const {
   const double used = this->settings.used_share;
   if (now - this->started >= this->settings.window) return used;
-  const auto lately = std::max<std::size_t>(this->sharers.started_lately, 1);
-  const auto all = std::max(this->sharers.instances, lately);
-  const double part = static_cast<double>(lately) / static_cast<double>(all);
-  return std::min(used, this->settings.first_share / part);
+  const auto recent = std::max<std::size_t>(this->sharers.recently_started, 1);
+  const auto all = std::max(this->sharers.instances, recent);
+  const double part = static_cast<double>(recent) / static_cast<double>(all);
+  return std::min(used, this->settings.startup_share / part);
 }
 
 double ArrivalBudget::Remaining(const std::string& service, TimePoint now) {
@@ -50,9 +50,9 @@
   const double slack =
       instances == 0 ? 0
                      : this->settings.slack / static_cast<double>(instances);
-  const double most =
-      this->Share(now) * (this->settings.ratio * requests + slack);
-  return most - extras;
+  const double allowed =
+      this->UsableShare(now) * (this->settings.ratio * requests + slack);
+  return allowed - extras;
 }
 
 bool ArrivalBudget::HasExtra(const std::string& service, TimePoint now) {
--- a/lib/attempts/probe_backoff.cc
+++ b/lib/attempts/probe_backoff.cc
@@ -11,9 +11,9 @@
 
 void ProbeBackoff::OnFalseAlarm(TimePoint now) {
   const bool first = this->factor <= 1;
-  if (!first && now - this->last_alarm < this->settings.together) return;
-  this->factor =
-      std::min(this->Factor(now) * this->settings.growth, this->settings.most);
+  if (!first && now - this->last_alarm < this->settings.merge_interval) return;
+  this->factor = std::min(this->Factor(now) * this->settings.growth,
+                          this->settings.max_factor);
   this->last_alarm = now;
 }
 
--- a/lib/attempts/stall_detector.cc
+++ b/lib/attempts/stall_detector.cc
@@ -5,58 +5,58 @@
 namespace toucanwharf::attempts {
 namespace {
 
-Duration Part(Duration whole, double share) {
-  return Duration(
-      static_cast<std::int64_t>(static_cast<double>(whole.count()) * share));
+Duration Scaled(Duration duration, double factor) {
+  return Duration(static_cast<std::int64_t>(
+      static_cast<double>(duration.count()) * factor));
 }
 
-Duration Mix(Duration newest, Duration before, double weight) {
-  return Part(newest, weight) + Part(before, 1 - weight);
+Duration Average(Duration newest, Duration previous, double weight) {
+  return Scaled(newest, weight) + Scaled(previous, 1 - weight);
 }
 
 }  // namespace
 
 void StallDetector::OnEvent(TimePoint now) {
-  if (this->last_event_of_all) {
+  if (this->last_event_any_endpoint) {
     this->longest_pause =
-        std::max(this->longest_pause, now - *this->last_event_of_all);
+        std::max(this->longest_pause, now - *this->last_event_any_endpoint);
   }
-  this->last_event_of_all = now;
-  if (this->last_event) this->NoteGap(now - *this->last_event);
+  this->last_event_any_endpoint = now;
+  if (this->last_event) this->RecordGap(now - *this->last_event);
   this->last_event = now;
 }
 
-void StallDetector::NoteGap(Duration gap) {
-  if (this->usual_gap == Duration(0)) {
-    this->usual_gap = gap;
+void StallDetector::RecordGap(Duration gap) {
+  if (this->mean_gap == Duration(0)) {
+    this->mean_gap = gap;
     this->mean_deviation = gap / 2;
     return;
   }
-  const Duration deviation = std::chrono::abs(gap - this->usual_gap);
+  const Duration deviation = std::chrono::abs(gap - this->mean_gap);
   this->mean_deviation =
-      Mix(deviation, this->mean_deviation, this->settings.deviation_weight);
-  this->usual_gap = Mix(gap, this->usual_gap, this->settings.gap_weight);
+      Average(deviation, this->mean_deviation, this->settings.deviation_weight);
+  this->mean_gap = Average(gap, this->mean_gap, this->settings.gap_weight);
 }
 
 void StallDetector::Restart() {
   this->last_event.reset();
-  this->usual_gap = Duration(0);
+  this->mean_gap = Duration(0);
   this->mean_deviation = Duration(0);
 }
 
 Duration StallDetector::StallTimeout() const {
   if (!this->last_event) {
-    return Part(this->objective, this->settings.objective_share);
+    return Scaled(this->objective, this->settings.objective_share);
   }
   return std::max(
-      this->settings.least,
-      this->usual_gap + Part(this->mean_deviation, this->settings.deviations));
+      this->settings.min_stall,
+      this->mean_gap + Scaled(this->mean_deviation, this->settings.deviations));
 }
 
 Duration StallDetector::SuspectedStallTimeout() const {
-  // With another sign of the engine's death half the silence is enough; an
-  // answer that has begun nothing yet has no pace that could contradict.
-  return std::min(this->StallTimeout(), this->settings.least) / 2;
+  // With other evidence that the engine is dead half the stall is enough. An
+  // answer without events yet has no gaps to compare with.
+  return std::min(this->StallTimeout(), this->settings.min_stall) / 2;
 }
 
 }  // namespace toucanwharf::attempts
--- a/lib/attempts/startup_wait.cc
+++ b/lib/attempts/startup_wait.cc
@@ -4,7 +4,7 @@
 
 bool StartupWait::Enter(std::size_t bytes, TimePoint now) {
   if (this->Expired(now)) return false;
-  if (this->waiting_bytes + bytes > this->settings.most_bytes) return false;
+  if (this->waiting_bytes + bytes > this->settings.max_bytes) return false;
   this->waiting_bytes += bytes;
   return true;
 }
--- a/lib/placement/layout.cc
+++ b/lib/placement/layout.cc
@@ -11,17 +11,17 @@
 using pipeline::LayerRange;
 using Group = std::vector<const Accelerator*>;
 
-/// Time from one engine to the next inside a failure domain, for each token.
+/// Time per token from one engine to the next inside a failure domain.
 constexpr double kHopMillis = 0.1;
-/// Kinds whose times for a layer differ by less than this factor are about as
+/// Kinds whose times per layer differ by less than this factor count as equally
 /// fast.
-constexpr double kAboutAsFast = 1.1;
-/// The sums of two runs that differ by less are equal but for rounding.
-constexpr double kClearlyMore = 1 + 1e-9;
-/// A further copy of a layer is worth so much of the one before.
-constexpr double kFurtherCopy = 0.25;
+constexpr double kEquallyFastFactor = 1.1;
+/// Tolerance for rounding: sums of two ranges that differ by less are equal.
+constexpr double kRoundingTolerance = 1 + 1e-9;
+/// Value of a further copy of a layer, relative to the copy before.
+constexpr double kFurtherCopyValue = 0.25;
 
-/// Layers from the first that nobody holds up to the next that somebody does.
+/// A maximal range of layers that no engine of a cover holds.
 using Gap = LayerRange;
 
 class Planner {
@@ -32,40 +32,41 @@
   Layout Plan(const std::vector<Accelerator>& fleet) {
     this->RankKinds();
     std::map<std::string, Group> domains;
-    for (const Accelerator& one : fleet) {
-      if (this->model.FindKind(one.kind) == nullptr) continue;
-      domains[one.failure_domain].push_back(&one);
+    for (const Accelerator& engine : fleet) {
+      if (this->model.FindKind(engine.kind) == nullptr) continue;
+      domains[engine.failure_domain].push_back(&engine);
     }
-    Group homeless;
+    Group unassigned;
     for (auto& [domain, members] : domains) {
       this->SortBestFirst(members);
       if (!this->PlanGroup(members)) {
-        homeless.insert(homeless.end(), members.begin(), members.end());
+        unassigned.insert(unassigned.end(), members.begin(), members.end());
       }
     }
-    // What no domain could use alone may make a cover together.
-    this->SortBestFirst(homeless);
-    this->PlanGroup(homeless);
+    // Engines that no domain could use alone may form a cover together.
+    this->SortBestFirst(unassigned);
+    this->PlanGroup(unassigned);
     return std::move(this->layout);
   }
 
  private:
-  /// By the rank of their kinds, see RankKinds.
+  /// Sorts by the rank of the kinds, see RankKinds.
   void SortBestFirst(Group& members) const {
     std::sort(members.begin(), members.end(),
               [this](const Accelerator* left, const Accelerator* right) {
-                const std::size_t a = this->ranks.at(left->kind);
-                const std::size_t b = this->ranks.at(right->kind);
-                return std::tie(a, left->id) < std::tie(b, right->id);
+                const std::size_t lhs_rank = this->ranks.at(left->kind);
+                const std::size_t rhs_rank = this->ranks.at(right->kind);
+                return std::tie(lhs_rank, left->id) <
+                       std::tie(rhs_rank, right->id);
               });
   }
 
-  /// Returns the time that an answer of usual length spends for each layer on
-  /// \p kind, the way to the next engine included.
+  /// Returns the time that an answer of mean length spends per layer on \p
+  /// kind, including the hop to the next engine.
   double MillisPerLayer(const AcceleratorKind& kind) const {
     const double layers = this->model.layers;
     const std::uint32_t each =
-        LayersFor(this->model, kind, this->settings.wanted_answers);
+        LayersFor(this->model, kind, this->settings.target_answers);
     const double hop = each > 0 ? kHopMillis / each : kHopMillis;
     const double step = this->model.step_millis * kind.step_factor / layers;
     const double read = this->model.mean_prompt_tokens /
@@ -74,9 +75,9 @@
     return this->model.mean_answer_tokens * (step + hop) + read;
   }
 
-  /// Orders the kinds, the fastest first. Of kinds that are about as fast,
-  /// those with more memory go first: a cover of fewer engines is hit less
-  /// often when engines die, and leaves more of them to stand by.
+  /// Orders the kinds, the fastest first. Of equally fast kinds those with more
+  /// memory go first: a cover of fewer engines is hit less often by engine
+  /// failures, and leaves more standbys.
   void RankKinds() {
     struct Rank {
       double millis;
@@ -91,108 +92,111 @@
                        return left.millis < right.millis;
                      });
     for (auto first = kinds.begin(); first != kinds.end();) {
-      const double limit = first->millis * kAboutAsFast;
-      const auto last = std::find_if(first, kinds.end(), [&](const Rank& one) {
-        return one.millis > limit;
+      const double limit = first->millis * kEquallyFastFactor;
+      const auto last = std::find_if(first, kinds.end(), [&](const Rank& rank) {
+        return rank.millis > limit;
       });
       std::stable_sort(first, last, [](const Rank& left, const Rank& right) {
         return left.kind->memory_mb > right.kind->memory_mb;
       });
       first = last;
     }
-    for (const Rank& one : kinds) {
-      this->ranks.emplace(one.kind->name, this->ranks.size());
+    for (const Rank& rank : kinds) {
+      this->ranks.emplace(rank.kind->name, this->ranks.size());
     }
   }
 
-  /// Keeps whole covers, mends a broken one, builds new ones, and lets what is
-  /// left stand by. Returns false if there is no cover.
+  /// Keeps complete covers, repairs a broken one, builds new ones, and makes
+  /// the remaining engines standbys. Returns false if there is no cover.
   ///
-  /// Copies are no parts of a cover while there are parts: they have room for
-  /// few answers, and engines that are replaced one after the other would leave
-  /// a cover of copies in the end, whole and always full.
+  /// Copies are not used as parts of a cover while there are parts: they have
+  /// capacity for few answers, and engines that are replaced one after the
+  /// other would finally leave a cover of copies, complete and always full.
   bool PlanGroup(Group members) {
     this->covers.clear();
-    while (this->KeepWholeCover(members, &Planner::IsPart)) {
+    while (this->KeepCompleteCover(members, &Planner::IsCoverPart)) {
     }
-    while (this->MendCover(members, &Planner::IsPart)) {
+    while (this->RepairCover(members, &Planner::IsCoverPart)) {
     }
     if (this->covers.empty()) {
-      while (this->KeepWholeCover(members, &Planner::Holds)) {
+      while (this->KeepCompleteCover(members, &Planner::CanKeep)) {
       }
-      if (this->covers.empty()) this->MendCover(members, &Planner::Holds);
+      if (this->covers.empty()) this->RepairCover(members, &Planner::CanKeep);
     }
     while (this->BuildCover(members)) {
     }
-    this->StandBy(members);
+    this->AssignStandbys(members);
     return !this->covers.empty();
   }
 
-  /// Gives each engine that is left without layers copies of neighbouring ones,
-  /// as many as leave it some room, so that paths go around an engine that dies
-  /// or turns slow. Those that hold layers keep them: a path may use any part
-  /// of them, and a load would cost more than a better choice gains.
-  void StandBy(const Group& members) {
+  /// Assigns to each remaining engine without layers copies of neighbouring
+  /// ones, as many as leave it some capacity, so that paths are rerouted around
+  /// an engine that dies or slows down. Engines with layers keep them: a path
+  /// may use any part of them, and a load would cost more than a better choice
+  /// gains.
+  void AssignStandbys(const Group& members) {
     if (this->covers.empty()) return;
     if (!this->settings.standby_copies) return;
     std::vector<int> copies(this->model.layers, 0);
-    for (const Accelerator* one : members) {
-      if (!this->Holds(*one)) continue;
-      CountCopies(one->layers, copies);
-      this->layout[one->id] = one->layers;
+    for (const Accelerator* engine : members) {
+      if (!this->CanKeep(*engine)) continue;
+      CountCopies(engine->layers, copies);
+      this->layout[engine->id] = engine->layers;
     }
-    const std::vector<double> worths = this->LayerWorths();
-    for (const Accelerator* one : members) {
-      if (this->Holds(*one)) continue;
-      const LayerRange run = this->BestRun(*one, worths, copies);
-      if (run.Count() == 0) continue;
-      CountCopies(run, copies);
-      this->layout[one->id] = run;
+    const std::vector<double> values = this->LayerValues();
+    for (const Accelerator* engine : members) {
+      if (this->CanKeep(*engine)) continue;
+      const LayerRange range = this->BestCopyRange(*engine, values, copies);
+      if (range.Count() == 0) continue;
+      CountCopies(range, copies);
+      this->layout[engine->id] = range;
     }
   }
 
-  static void CountCopies(const LayerRange& run, std::vector<int>& copies) {
-    for (std::uint32_t at = run.begin; at < run.end; ++at) ++copies[at];
+  static void CountCopies(const LayerRange& range, std::vector<int>& copies) {
+    for (std::uint32_t i = range.begin; i < range.end; ++i) ++copies[i];
   }
 
-  /// Returns what a copy of each layer is worth. A copied part protects against
+  /// Returns the value of a copy of each layer. A copied part protects against
   /// the loss of one engine, whatever its size, so that a layer of a large part
   /// counts less.
-  std::vector<double> LayerWorths() const {
-    std::vector<double> worths(this->model.layers, 0);
+  std::vector<double> LayerValues() const {
+    std::vector<double> values(this->model.layers, 0);
     for (const auto& parts : this->covers) {
       for (const LayerRange& part : parts) {
-        for (std::uint32_t at = part.begin; at < part.end; ++at) {
-          worths[at] += 1.0 / part.Count();
+        for (std::uint32_t layer = part.begin; layer < part.end; ++layer) {
+          values[layer] += 1.0 / part.Count();
         }
       }
     }
-    return worths;
+    return values;
   }
 
-  /// Returns the layers that fit on \p one whose copies are worth most.
-  LayerRange BestRun(const Accelerator& one, const std::vector<double>& worths,
-                     const std::vector<int>& copies) const {
+  /// Returns the layers that fit on \p engine and whose copies have the highest
+  /// value.
+  LayerRange BestCopyRange(const Accelerator& engine,
+                           const std::vector<double>& values,
+                           const std::vector<int>& copies) const {
     const std::uint32_t fit =
-        LayersFor(this->model, *this->model.FindKind(one.kind),
+        LayersFor(this->model, *this->model.FindKind(engine.kind),
                   this->settings.standby_answers);
     if (fit == 0) return {};
     LayerRange best;
-    double best_worth = 0;
+    double best_value = 0;
     for (std::uint32_t begin = 0; begin + fit <= this->model.layers; ++begin) {
-      const LayerRange run{begin, begin + fit};
-      double worth = 0;
-      for (std::uint32_t at = run.begin; at < run.end; ++at) {
-        worth += worths[at] * std::pow(kFurtherCopy, copies[at]);
+      const LayerRange range{begin, begin + fit};
+      double value = 0;
+      for (std::uint32_t layer = range.begin; layer < range.end; ++layer) {
+        value += values[layer] * std::pow(kFurtherCopyValue, copies[layer]);
       }
-      if (worth <= best_worth * kClearlyMore) continue;
-      best = run;
-      best_worth = worth;
+      if (value <= best_value * kRoundingTolerance) continue;
+      best = range;
+      best_value = value;
     }
     return best;
   }
 
-  void TakeCover(Group& members, const Layout& chosen) {
+  void AddCover(Group& members, const Layout& chosen) {
     std::vector<LayerRange> parts;
     for (const auto& [id, layers] : chosen) {
       this->layout[id] = layers;
@@ -200,36 +204,36 @@
     }
     std::sort(parts.begin(), parts.end());
     this->covers.push_back(std::move(parts));
-    std::erase_if(members, [&](const Accelerator* one) {
-      return chosen.contains(one->id);
+    std::erase_if(members, [&](const Accelerator* engine) {
+      return chosen.contains(engine->id);
     });
   }
 
-  /// Says of an engine whether it counts for something.
-  using Test = bool (Planner::*)(const Accelerator&) const;
+  /// Predicate on the layers that an engine holds.
+  using Predicate = bool (Planner::*)(const Accelerator&) const;
 
-  /// Finds engines of which \p counts holds and whose layers follow one another
-  /// from first to last.
-  bool KeepWholeCover(Group& members, Test counts) {
-    const Layout chain = this->LongestChain(members, counts).first;
-    const bool whole = !chain.empty() && this->Holes(chain).empty();
-    if (whole) this->TakeCover(members, chain);
-    return whole;
+  /// Finds engines that meet \p predicate and whose layers form a complete
+  /// cover, and keeps that as it is. Returns whether there was one.
+  bool KeepCompleteCover(Group& members, Predicate predicate) {
+    const Layout chain = this->LongestChain(members, predicate).first;
+    const bool is_complete = !chain.empty() && this->FindGaps(chain).empty();
+    if (is_complete) this->AddCover(members, chain);
+    return is_complete;
   }
 
-  /// Returns the disjoint holdings that cover most layers between them, of
-  /// engines of which \p counts holds, and how many layers that is.
+  /// Returns the disjoint ranges, held by engines that meet \p predicate, that
+  /// cover the most layers together, and how many layers that is.
   std::pair<Layout, std::uint32_t> LongestChain(const Group& members,
-                                                Test counts) const {
+                                                Predicate predicate) const {
     std::vector<const Accelerator*> holders;
-    for (const Accelerator* one : members) {
-      if ((this->*counts)(*one)) holders.push_back(one);
+    for (const Accelerator* engine : members) {
+      if ((this->*predicate)(*engine)) holders.push_back(engine);
     }
     std::stable_sort(holders.begin(), holders.end(),
                      [](const Accelerator* left, const Accelerator* right) {
                        return left->layers.end < right->layers.end;
                      });
-    // Best sum of layers with ranges that end at or before each layer.
+    // Maximum number of layers in ranges that end at or before each layer.
     const std::uint32_t layers = this->model.layers;
     std::vector<std::uint32_t> best(layers + 1, 0);
     std::vector<const Accelerator*> last(layers + 1, nullptr);
@@ -247,184 +251,190 @@
     }
     Layout chain;
     for (std::uint32_t end = layers; end > 0;) {
-      const Accelerator* one = last[end];
-      if (one == nullptr) {
+      const Accelerator* engine = last[end];
+      if (engine == nullptr) {
         --end;
         continue;
       }
-      chain[one->id] = one->layers;
-      end = one->layers.begin;
+      chain[engine->id] = engine->layers;
+      end = engine->layers.begin;
     }
     return {chain, best[layers]};
   }
 
-  /// Returns whether \p one holds layers that it can go on holding.
-  bool Holds(const Accelerator& one) const {
-    const AcceleratorKind& kind = *this->model.FindKind(one.kind);
-    return one.layers.Count() > 0 && one.layers.end <= this->model.layers &&
-           this->model.layer_mb * one.layers.Count() < kind.memory_mb;
+  /// Returns whether \p engine holds layers that it can keep.
+  bool CanKeep(const Accelerator& engine) const {
+    const AcceleratorKind& kind = *this->model.FindKind(engine.kind);
+    return engine.layers.Count() > 0 &&
+           engine.layers.end <= this->model.layers &&
+           this->model.layer_mb * engine.layers.Count() < kind.memory_mb;
   }
 
-  /// Returns whether \p one holds part of a cover rather than a copy: layers
-  /// that leave it room for about as many answers as a cover should have.
-  bool IsPart(const Accelerator& one) const {
-    constexpr double kPartOfRoom = 0.5;
-    const AcceleratorKind& kind = *this->model.FindKind(one.kind);
-    const std::uint32_t most = LayersFor(
-        this->model, kind, kPartOfRoom * this->settings.wanted_answers);
-    return one.layers.Count() > 0 && one.layers.end <= this->model.layers &&
-           one.layers.Count() <= most;
+  /// Returns whether \p engine holds part of a cover rather than a copy: layers
+  /// that leave it capacity for about as many answers as a cover should have.
+  bool IsCoverPart(const Accelerator& engine) const {
+    constexpr double kPartCapacityShare = 0.5;
+    const AcceleratorKind& kind = *this->model.FindKind(engine.kind);
+    const std::uint32_t max_layers = LayersFor(
+        this->model, kind, kPartCapacityShare * this->settings.target_answers);
+    return engine.layers.Count() > 0 &&
+           engine.layers.end <= this->model.layers &&
+           engine.layers.Count() <= max_layers;
   }
 
   /// Returns \p engines in the order in which a cover takes them to fill its
-  /// holes: those that hold nothing, copies, then parts of other covers that
-  /// are broken.
+  /// gaps: those without layers, copies, then parts of other covers that are
+  /// broken.
   Group LeastNeededFirst(Group engines) const {
+    std::stable_partition(engines.begin(), engines.end(),
+                          [this](const Accelerator* engine) {
+                            return !this->IsCoverPart(*engine);
+                          });
     std::stable_partition(
         engines.begin(), engines.end(),
-        [this](const Accelerator* one) { return !this->IsPart(*one); });
-    std::stable_partition(
-        engines.begin(), engines.end(),
-        [this](const Accelerator* one) { return !this->Holds(*one); });
+        [this](const Accelerator* engine) { return !this->CanKeep(*engine); });
     return engines;
   }
 
-  std::vector<Gap> Holes(const Layout& chain) const {
+  std::vector<Gap> FindGaps(const Layout& chain) const {
     std::vector<LayerRange> held;
     for (const auto& [id, layers] : chain) held.push_back(layers);
     std::sort(held.begin(), held.end());
-    std::vector<Gap> holes;
-    std::uint32_t at = 0;
+    std::vector<Gap> gaps;
+    std::uint32_t next = 0;
     for (const LayerRange& range : held) {
-      if (range.begin > at) holes.push_back({at, range.begin});
-      at = range.end;
+      if (range.begin > next) gaps.push_back({next, range.begin});
+      next = range.end;
     }
-    if (at < this->model.layers) holes.push_back({at, this->model.layers});
-    return holes;
+    if (next < this->model.layers) gaps.push_back({next, this->model.layers});
+    return gaps;
   }
 
-  /// Fills the holes of what is left of a cover with free engines, if most of
-  /// it is left: then a few loads bring it back. What is left are engines of
-  /// which \p counts holds. Returns whether it did.
-  bool MendCover(Group& members, Test counts) {
-    const auto [chain, held] = this->LongestChain(members, counts);
+  /// Fills the gaps of an incomplete cover with free engines, if most of it
+  /// remains, so that a few loads restore it. Its remaining engines meet \p
+  /// predicate. Returns whether it was restored.
+  bool RepairCover(Group& members, Predicate predicate) {
+    const auto [chain, held] = this->LongestChain(members, predicate);
     if (2 * held < this->model.layers) return false;
     Group free;
-    for (const Accelerator* one : members) {
-      if (!chain.contains(one->id)) free.push_back(one);
+    for (const Accelerator* engine : members) {
+      if (!chain.contains(engine->id)) free.push_back(engine);
     }
     free = this->LeastNeededFirst(std::move(free));
-    for (double answers = this->settings.wanted_answers;
-         answers >= this->settings.least_answers; answers /= 2) {
-      Layout mended = chain;
-      if (!this->Fill(this->Holes(chain), free, answers, mended)) continue;
-      this->TakeCover(members, mended);
+    for (double answers = this->settings.target_answers;
+         answers >= this->settings.min_answers; answers /= 2) {
+      Layout repaired = chain;
+      if (!this->Fill(this->FindGaps(chain), free, answers, repaired)) continue;
+      this->AddCover(members, repaired);
       return true;
     }
     return false;
   }
 
-  bool Fill(const std::vector<Gap>& holes, const Group& free, double answers,
+  bool Fill(const std::vector<Gap>& gaps, const Group& free, double answers,
             Layout& chosen) const {
     auto next = free.begin();
-    for (Gap hole : holes) {
-      while (hole.Count() > 0) {
+    for (Gap gap : gaps) {
+      while (gap.Count() > 0) {
         if (next == free.end()) return false;
-        const Accelerator& one = **next;
+        const Accelerator& engine = **next;
         ++next;
-        const std::uint32_t most =
-            LayersFor(this->model, *this->model.FindKind(one.kind), answers);
-        const std::uint32_t taken = std::min(most, hole.Count());
-        if (taken == 0) continue;
-        chosen[one.id] = {hole.begin, hole.begin + taken};
-        hole.begin += taken;
+        const std::uint32_t max_layers =
+            LayersFor(this->model, *this->model.FindKind(engine.kind), answers);
+        const std::uint32_t assigned = std::min(max_layers, gap.Count());
+        if (assigned == 0) continue;
+        chosen[engine.id] = {gap.begin, gap.begin + assigned};
+        gap.begin += assigned;
       }
     }
     return true;
   }
 
-  /// Builds a cover from scratch, with room for as many answers as wanted or,
-  /// failing that, as many as all members together allow. Beside another cover
-  /// only engines without layers are used.
+  /// Builds a new cover, with capacity for the target number of answers or,
+  /// failing that, for as many as all members together allow. Beside another
+  /// cover only engines without layers are used.
   bool BuildCover(Group& members) {
     if (this->covers.empty()) return this->BuildFrom(members, members);
     Group unused;
-    for (const Accelerator* one : members) {
-      if (!this->Holds(*one)) unused.push_back(one);
+    for (const Accelerator* engine : members) {
+      if (!this->CanKeep(*engine)) unused.push_back(engine);
     }
     return this->BuildFrom(unused, members);
   }
 
   bool BuildFrom(const Group& usable, Group& members) {
-    for (double answers = this->settings.wanted_answers;
-         answers >= this->settings.least_answers;
+    for (double answers = this->settings.target_answers;
+         answers >= this->settings.min_answers;
          answers *= this->settings.answers_step) {
       const Layout chosen = this->CoverFor(usable, answers);
       if (chosen.empty()) continue;
-      this->TakeCover(members, chosen);
+      this->AddCover(members, chosen);
       return true;
     }
     return false;
   }
 
-  /// Returns a cover with room for \p answers, of the fastest engines; empty
-  /// if they can't hold it. The slowest kind that it needs shares its part
-  /// evenly, for a part of two layers would waste an engine.
+  /// Returns a cover with capacity for \p answers, of the fastest engines;
+  /// empty if they can't hold it. Engines of the slowest kind that it needs
+  /// share its part evenly, as a part of two layers would waste an engine.
   Layout CoverFor(const Group& usable, double answers) const {
     Layout chosen;
-    std::uint32_t at = 0;
+    std::uint32_t next_layer = 0;
     for (auto first = usable.begin(); first != usable.end();) {
       const std::string& kind = (*first)->kind;
       const auto last = std::find_if(
           first, usable.end(),
-          [&](const Accelerator* one) { return one->kind != kind; });
+          [&](const Accelerator* engine) { return engine->kind != kind; });
       const std::uint32_t each =
           LayersFor(this->model, *this->model.FindKind(kind), answers);
       const auto count = static_cast<std::uint32_t>(last - first);
-      at = this->TakeKind(first, std::min(count, this->Needed(at, each)), each,
-                          at, chosen);
-      if (at == this->model.layers) return chosen;
+      next_layer = this->AssignKind(
+          first, std::min(count, this->Needed(next_layer, each)), each,
+          next_layer, chosen);
+      if (next_layer == this->model.layers) return chosen;
       first = last;
     }
     return {};
   }
 
-  /// Returns how many engines of \p each layers hold those from \p at on.
-  std::uint32_t Needed(std::uint32_t at, std::uint32_t each) const {
-    const std::uint32_t left = this->model.layers - at;
+  /// Returns how many engines of \p each layers hold those from \p next_layer
+  /// on.
+  std::uint32_t Needed(std::uint32_t next_layer, std::uint32_t each) const {
+    const std::uint32_t left = this->model.layers - next_layer;
     return each == 0 ? 0 : (left + each - 1) / each;
   }
 
-  /// Gives \p count engines from \p first on even parts of the layers from
-  /// \p at on; returns where their part ends.
-  std::uint32_t TakeKind(Group::const_iterator first, std::uint32_t count,
-                         std::uint32_t each, std::uint32_t at,
-                         Layout& chosen) const {
-    const std::uint32_t taken = std::min(this->model.layers - at, count * each);
+  /// Assigns even parts of the layers from \p next_layer on to \p count engines
+  /// from \p first on; returns where their part ends.
+  std::uint32_t AssignKind(Group::const_iterator first, std::uint32_t count,
+                           std::uint32_t each, std::uint32_t next_layer,
+                           Layout& chosen) const {
+    const std::uint32_t assigned =
+        std::min(this->model.layers - next_layer, count * each);
     for (std::uint32_t part = 0; part < count; ++part) {
-      const std::uint32_t begin = at + taken * part / count;
-      const std::uint32_t end = at + taken * (part + 1) / count;
+      const std::uint32_t begin = next_layer + assigned * part / count;
+      const std::uint32_t end = next_layer + assigned * (part + 1) / count;
       chosen[(*(first + part))->id] = {begin, end};
     }
-    return at + taken;
+    return next_layer + assigned;
   }
 
   const EngineModel& model;
   const LayoutSettings& settings;
-  /// Place of each kind in the order in which kinds are used.
+  /// Rank of each kind in the order of use.
   std::map<std::string, std::size_t> ranks;
   Layout layout;
-  /// The parts of each cover of the group that is planned, in order.
+  /// Parts of each cover of the group that is being planned, in order.
   std::vector<std::vector<LayerRange>> covers;
 };
 
-/// Puts \p layout in place on \p fleet. Returns whether that moves any layers.
-bool Place(const Layout& layout, std::vector<Accelerator>& fleet) {
+/// Applies \p layout to \p fleet. Returns whether any layers changed.
+bool Apply(const Layout& layout, std::vector<Accelerator>& fleet) {
   bool moved = false;
-  for (Accelerator& one : fleet) {
-    const auto wanted = layout.find(one.id);
-    if (wanted == layout.end() || wanted->second == one.layers) continue;
-    one.layers = wanted->second;
+  for (Accelerator& engine : fleet) {
+    const auto wanted = layout.find(engine.id);
+    if (wanted == layout.end() || wanted->second == engine.layers) continue;
+    engine.layers = wanted->second;
     moved = true;
   }
   return moved;
@@ -447,14 +457,14 @@
                   const std::vector<Accelerator>& fleet,
                   const LayoutSettings& settings) {
   if (model.layers == 0) return {};
-  // What is planned is planned again as if it were in place, until that moves
-  // nothing: the next plan, by whoever leads then, must not move layers again.
-  constexpr int kMostRounds = 4;
+  // Plans again as if the plan were carried out, until nothing changes: the
+  // next plan, by whichever leader, must not move layers again.
+  constexpr int kMaxRounds = 4;
   Layout layout;
   std::vector<Accelerator> placed = fleet;
-  for (int round = 0; round < kMostRounds; ++round) {
+  for (int round = 0; round < kMaxRounds; ++round) {
     const Layout next = Planner(model, settings).Plan(placed);
-    const bool moved = Place(next, placed);
+    const bool moved = Apply(next, placed);
     for (const auto& [id, layers] : next) layout[id] = layers;
     if (!moved) break;
   }
--- a/lib/placement/path_finder.cc
+++ b/lib/placement/path_finder.cc
@@ -12,57 +12,56 @@
 using pipeline::LayerRange;
 
 constexpr double kPerThousand = 1000.0;
-constexpr double kNever = std::numeric_limits<double>::infinity();
-/// A hop inside a failure domain takes about a tenth of a millisecond.
-constexpr double kNearHopMillis = 0.1;
-/// Room counts as used up to this part at most where crowding is priced, so
-/// that the price stays finite.
-constexpr double kMostCrowded = 0.95;
+constexpr double kUnreachable = std::numeric_limits<double>::infinity();
+/// Time of a hop inside a failure domain: about a tenth of a millisecond.
+constexpr double kLocalHopMillis = 0.1;
+/// Maximum utilization in the congestion cost, so that the cost stays finite.
+constexpr double kMaxUtilization = 0.95;
 
-/// What one layer of an engine costs the answer asked for.
-struct Rate {
+/// Cost of one layer on an engine for the requested answer.
+struct LayerCost {
   double token_millis = 0;
   double prompt_millis = 0;
-  /// Tokens times layers that are still free, and that there are in all.
-  double room = 0;
-  double whole_room = 1;
+  /// Free and total capacity in tokens times layers.
+  double free = 0;
+  double total = 1;
   double jitter = 1;
-  /// Layers that the answer runs there already.
+  /// Layers that the answer already runs there.
   LayerRange held;
 };
 
-/// The best way found to a boundary in a failure domain.
+/// The best partial path to a boundary in a failure domain.
 struct Label {
-  double cost = kNever;
+  double cost = kUnreachable;
   double token_millis = 0;
   double first_millis = 0;
-  /// Engine of the last part, and where that part began.
+  /// Engine of the last part, and the boundary where that part begins.
   std::size_t engine = 0;
   std::uint32_t begin = 0;
   std::size_t from_domain = 0;
 };
 
-/// What a search may and must look at.
+/// Constraints of a search.
 struct Scope {
-  /// Whether each engine needs room for the answer.
-  bool need_room = true;
-  /// Whether a path may go from one failure domain to another.
+  /// Whether each engine needs free capacity for the answer.
+  bool need_free = true;
+  /// Whether a path may cross from one failure domain to another.
   bool may_cross = true;
-  /// Engines that a path may begin at; all if empty.
-  std::vector<std::size_t> begin_at;
+  /// Engines that a path may begin at; any if empty.
+  std::vector<std::size_t> entries;
 };
 
 class Search {
  public:
   Search(const EngineModel& engine_model, const std::vector<Engine>& fleet,
          const PathQuery& path_query, const PathSettings& path_settings,
-         Random& source, Scope chosen)
+         Random& source, Scope search_scope)
       : model(engine_model),
         engines(fleet),
         query(path_query),
         settings(path_settings),
         random(source),
-        scope(std::move(chosen)) {}
+        scope(std::move(search_scope)) {}
 
   std::optional<Path> Run() {
     this->Collect();
@@ -80,20 +79,21 @@
   void Collect() {
     this->domains.push_back(this->query.failure_domain);
     this->boundaries = {0, this->model.layers};
-    for (std::size_t at = 0; at < this->engines.size(); ++at) {
-      const Engine& engine = this->engines[at];
+    for (std::size_t index = 0; index < this->engines.size(); ++index) {
+      const Engine& engine = this->engines[index];
       if (engine.layers.Count() == 0) continue;
       if (this->query.excluded.contains(engine.id)) continue;
       const AcceleratorKind* kind = this->model.FindKind(engine.kind);
       if (kind == nullptr) continue;
-      if (this->scope.need_room && this->model.slots > 0 &&
+      if (this->scope.need_free && this->model.slots > 0 &&
           engine.layers.begin == 0 &&
           engine.first_stage_answers >= this->model.slots) {
         continue;
       }
-      this->used.push_back(at);
-      this->rates.emplace(at, this->RateOf(engine, *kind));
-      this->engine_domain.emplace(at, this->DomainIndex(engine.failure_domain));
+      this->usable.push_back(index);
+      this->costs.emplace(index, this->CostOf(engine, *kind));
+      this->engine_domain.emplace(index,
+                                  this->DomainIndex(engine.failure_domain));
       this->boundaries.push_back(engine.layers.begin);
       this->boundaries.push_back(engine.layers.end);
     }
@@ -108,21 +108,22 @@
     this->labels[{0, 0}] = Label{0, 0, 0, 0, 0, 0};
   }
 
-  /// Whether \p at may run the layers from \p begin to \p end, where the query
-  /// keeps the first stage.
-  bool Allowed(std::size_t at, std::uint32_t begin, std::uint32_t end) const {
-    if (this->query.current.empty()) return begin > 0 || this->MayBegin(at);
+  /// Returns whether \p index may run the layers from \p begin to \p end, where
+  /// the query keeps the first stage.
+  bool Allowed(std::size_t index, std::uint32_t begin,
+               std::uint32_t end) const {
+    if (this->query.current.empty()) return begin > 0 || this->MayBegin(index);
     const pipeline::Stage& first = this->query.current.front();
-    const bool is_first = this->engines[at].id == first.endpoint;
+    const bool is_first = this->engines[index].id == first.endpoint;
     const LayerRange& kept = first.layers;
     if (begin == 0) return is_first && end == kept.end;
     return !is_first;
   }
 
-  bool MayBegin(std::size_t at) const {
-    const auto& entries = this->scope.begin_at;
+  bool MayBegin(std::size_t index) const {
+    const auto& entries = this->scope.entries;
     if (entries.empty()) return true;
-    return std::find(entries.begin(), entries.end(), at) != entries.end();
+    return std::find(entries.begin(), entries.end(), index) != entries.end();
   }
 
   std::size_t DomainIndex(const std::string& domain) {
@@ -133,7 +134,7 @@
     return index;
   }
 
-  /// Returns the layers that the answer runs on \p engine already.
+  /// Returns the layers that the answer already runs on \p engine.
   LayerRange HeldBy(const Engine& engine) const {
     for (const pipeline::Stage& stage : this->query.current) {
       if (stage.endpoint == engine.id) return stage.layers;
@@ -141,48 +142,48 @@
     return {};
   }
 
-  Rate RateOf(const Engine& engine, const AcceleratorKind& kind) {
-    Rate rate;
+  LayerCost CostOf(const Engine& engine, const AcceleratorKind& kind) {
+    LayerCost cost;
     const double layers = this->model.layers;
-    rate.held = this->HeldBy(engine);
+    cost.held = this->HeldBy(engine);
     const double step =
         this->model.step_millis +
         this->model.step_millis_per_answer * (engine.answers + 1) +
         this->model.step_millis_per_kilotoken * engine.token_layers /
             (engine.layers.Count() * kPerThousand);
-    rate.token_millis = step * kind.step_factor * engine.slowdown / layers;
-    rate.prompt_millis = this->query.prompt_tokens /
+    cost.token_millis = step * kind.step_factor * engine.slowdown / layers;
+    cost.prompt_millis = this->query.prompt_tokens /
                          this->model.prefill_tokens_per_milli *
                          kind.prefill_factor * engine.slowdown / layers;
-    rate.whole_room = std::max(
+    cost.total = std::max(
         1.0, TokenLayerCapacity(this->model, kind, engine.layers.Count()) *
                  this->settings.capacity_share);
-    // What the answer itself takes up there is free for it.
-    rate.room = rate.whole_room - engine.token_layers +
-                this->Needed() * rate.held.Count();
-    rate.jitter = 1 + this->settings.jitter * (2 * this->random.Unit() - 1);
-    return rate;
+    // The answer's own load there is free for it.
+    cost.free =
+        cost.total - engine.token_layers + this->Needed() * cost.held.Count();
+    cost.jitter = 1 + this->settings.jitter * (2 * this->random.Unit() - 1);
+    return cost;
   }
 
-  /// Returns what an engine whose room is used up by so much costs, against an
-  /// empty one. Without it the fastest engines are filled to the brim, where
-  /// answers that turn out longer than guessed crowd each other out.
-  static double Crowding(const Rate& rate, double needed) {
-    const double used =
-        std::min(kMostCrowded, 1 - (rate.room - needed) / rate.whole_room);
-    return 1 / ((1 - used) * (1 - used));
+  /// Returns the cost factor of an engine for its utilization, 1 for an empty
+  /// one. Without it the fastest engines are filled completely, where answers
+  /// that turn out longer than expected compete for memory.
+  static double CongestionFactor(const LayerCost& cost, double needed) {
+    const double utilization =
+        std::min(kMaxUtilization, 1 - (cost.free - needed) / cost.total);
+    return 1 / ((1 - utilization) * (1 - utilization));
   }
 
-  double HopMillis(std::size_t left, std::size_t right) const {
-    if (left == right) return kNearHopMillis;
+  double HopMillis(std::size_t from, std::size_t to) const {
+    if (from == to) return kLocalHopMillis;
     for (const DomainDelay& delay : this->model.delays) {
-      const bool there = delay.left == this->domains[left] &&
-                         delay.right == this->domains[right];
-      const bool back = delay.left == this->domains[right] &&
-                        delay.right == this->domains[left];
-      if (there || back) return delay.millis + kNearHopMillis;
+      const bool forward =
+          delay.left == this->domains[from] && delay.right == this->domains[to];
+      const bool backward =
+          delay.left == this->domains[to] && delay.right == this->domains[from];
+      if (forward || backward) return delay.millis + kLocalHopMillis;
     }
-    return kNearHopMillis;
+    return kLocalHopMillis;
   }
 
   void Extend(std::uint32_t boundary) {
@@ -190,49 +191,50 @@
       const auto found = this->labels.find({boundary, domain});
       if (found == this->labels.end()) continue;
       const Label from = found->second;
-      for (const std::size_t at : this->used) {
-        const LayerRange& held = this->engines[at].layers;
+      for (const std::size_t index : this->usable) {
+        const LayerRange& held = this->engines[index].layers;
         if (held.begin > boundary || held.end <= boundary) continue;
-        // One endpoint runs one part: it doesn't follow itself.
-        if (boundary > 0 && from.engine == at) continue;
-        this->ExtendBy(at, boundary, domain, from);
+        // An endpoint runs one part, so it can't follow itself.
+        if (boundary > 0 && from.engine == index) continue;
+        this->ExtendBy(index, boundary, domain, from);
       }
     }
   }
 
-  void ExtendBy(std::size_t at, std::uint32_t begin, std::size_t domain,
+  void ExtendBy(std::size_t index, std::uint32_t begin, std::size_t domain,
                 const Label& from) {
-    const LayerRange& held = this->engines[at].layers;
-    const Rate& rate = this->rates.at(at);
-    const std::size_t own = this->engine_domain.at(at);
-    double hop = HopMillis(domain, own);
-    // The way from the router carries events only, no activations.
-    const bool crosses = domain != own && begin > 0;
+    const LayerRange& held = this->engines[index].layers;
+    const LayerCost& cost = this->costs.at(index);
+    const std::size_t to_domain = this->engine_domain.at(index);
+    double hop = HopMillis(domain, to_domain);
+    // The link from the router carries events only, no activations.
+    const bool crosses = domain != to_domain && begin > 0;
     if (crosses && !this->scope.may_cross) return;
     if (crosses) hop += this->settings.crossing_millis;
     const auto first = std::upper_bound(this->boundaries.begin(),
                                         this->boundaries.end(), begin);
     for (auto end = first; end != this->boundaries.end(); ++end) {
       if (*end > held.end) break;
-      if (!this->Allowed(at, begin, *end)) continue;
+      if (!this->Allowed(index, begin, *end)) continue;
       const double layers = *end - begin;
-      if (this->scope.need_room && this->Needed() * layers > rate.room) break;
+      if (this->scope.need_free && this->Needed() * layers > cost.free) break;
       Label label;
-      label.token_millis = from.token_millis + hop + rate.token_millis * layers;
-      const bool stays = rate.held == LayerRange{begin, *end};
-      const double read_millis = stays ? 0 : rate.prompt_millis * layers;
+      label.token_millis = from.token_millis + hop + cost.token_millis * layers;
+      const bool stays = cost.held == LayerRange{begin, *end};
+      const double read_millis = stays ? 0 : cost.prompt_millis * layers;
       label.first_millis = from.first_millis + hop + read_millis;
-      const double crowding = this->settings.price_congestion
-                                  ? Crowding(rate, this->Needed() * layers)
-                                  : 1;
+      const double congestion =
+          this->settings.price_congestion
+              ? CongestionFactor(cost, this->Needed() * layers)
+              : 1;
       label.cost = from.cost +
-                   (hop + rate.token_millis * layers * crowding) * rate.jitter *
-                       this->query.output_tokens +
+                   (hop + cost.token_millis * layers * congestion) *
+                       cost.jitter * this->query.output_tokens +
                    read_millis;
-      label.engine = at;
+      label.engine = index;
       label.begin = begin;
       label.from_domain = domain;
-      Label& best = this->labels[{*end, own}];
+      Label& best = this->labels[{*end, to_domain}];
       if (label.cost < best.cost) best = label;
     }
   }
@@ -240,12 +242,12 @@
   std::optional<Path> Trace() const {
     const Label* last = nullptr;
     std::size_t domain = 0;
-    for (std::size_t at = 0; at < this->domains.size(); ++at) {
-      const auto found = this->labels.find({this->model.layers, at});
+    for (std::size_t index = 0; index < this->domains.size(); ++index) {
+      const auto found = this->labels.find({this->model.layers, index});
       if (found == this->labels.end()) continue;
       if (last != nullptr && last->cost <= found->second.cost) continue;
       last = &found->second;
-      domain = at;
+      domain = index;
     }
     if (last == nullptr) return std::nullopt;
     Path path;
@@ -265,8 +267,9 @@
     return path;
   }
 
-  /// An engine that comes twice holds everything between as well, so it can
-  /// run all of that as one part; no engine may be named twice.
+  /// Merges the stages of an engine that occurs twice: it holds everything
+  /// between as well, so it can run all of that as one part, and no engine may
+  /// be listed twice.
   static void MergeRepeats(std::vector<pipeline::Stage>& stages) {
     for (std::size_t first = 0; first < stages.size(); ++first) {
       for (std::size_t later = stages.size() - 1; later > first; --later) {
@@ -286,10 +289,10 @@
   const PathSettings& settings;
   Random& random;
   Scope scope;
-  std::vector<std::size_t> used;
+  std::vector<std::size_t> usable;
   std::vector<std::string> domains;
   std::vector<std::uint32_t> boundaries;
-  std::map<std::size_t, Rate> rates;
+  std::map<std::size_t, LayerCost> costs;
   std::map<std::size_t, std::size_t> engine_domain;
   std::map<std::pair<std::uint32_t, std::size_t>, Label> labels;
 };
@@ -299,11 +302,11 @@
                                      const PathQuery& query, std::size_t count,
                                      Random& random) {
   std::vector<std::size_t> entries;
-  for (std::size_t at = 0; at < engines.size(); ++at) {
-    const Engine& engine = engines[at];
+  for (std::size_t index = 0; index < engines.size(); ++index) {
+    const Engine& engine = engines[index];
     if (engine.layers.begin > 0 || engine.layers.Count() == 0) continue;
     if (query.excluded.contains(engine.id)) continue;
-    entries.push_back(at);
+    entries.push_back(index);
   }
   std::shuffle(entries.begin(), entries.end(), random);
   entries.resize(std::min(entries.size(), count));
@@ -314,9 +317,9 @@
 
 double TokenLayerCapacity(const EngineModel& model, const AcceleratorKind& kind,
                           std::uint32_t held) {
-  const double left = kind.memory_mb - model.layer_mb * held;
-  if (left <= 0 || model.token_mb <= 0) return 0;
-  return left / (model.token_mb / model.layers);
+  const double free_mb = kind.memory_mb - model.layer_mb * held;
+  if (free_mb <= 0 || model.token_mb <= 0) return 0;
+  return free_mb / (model.token_mb / model.layers);
 }
 
 PathChoice FindPath(const EngineModel& model,
@@ -331,34 +334,33 @@
     return Search(model, engines, query, settings, random, std::move(scope))
         .Run();
   };
-  // An answer that goes around a dead engine may cross: its caller waits, its
-  // first engine is fixed, and there are few of them.
-  const bool goes_around = !query.current.empty();
+  // An answer that is rerouted around a dead engine may cross: its caller
+  // waits, its first engine is fixed, and there are few such answers.
+  const bool is_reroute = !query.current.empty();
   Scope scope;
-  scope.may_cross = goes_around;
-  if (settings.entry_choices > 0 && !goes_around) {
-    scope.begin_at =
-        DrawEntries(engines, query, settings.entry_choices, random);
+  scope.may_cross = is_reroute;
+  if (settings.entry_choices > 0 && !is_reroute) {
+    scope.entries = DrawEntries(engines, query, settings.entry_choices, random);
     choice.path = search(scope);
     if (choice.path) return choice;
-    scope.begin_at.clear();
+    scope.entries.clear();
   }
   choice.path = search(scope);
   if (choice.path) return choice;
-  scope.need_room = false;
+  scope.need_free = false;
   const bool covered = search(scope).has_value();
   choice.no_path_reason =
       covered ? NoPathReason::kNoCapacity : NoPathReason::kMissingLayers;
-  if (covered || goes_around) return choice;
+  if (covered || is_reroute) return choice;
   // No failure domain holds all layers by itself.
   scope.may_cross = true;
-  scope.need_room = true;
+  scope.need_free = true;
   choice.path = search(scope);
   if (choice.path) {
     choice.no_path_reason = NoPathReason::kNone;
     return choice;
   }
-  scope.need_room = false;
+  scope.need_free = false;
   choice.no_path_reason = search(scope).has_value()
                               ? NoPathReason::kNoCapacity
                               : NoPathReason::kMissingLayers;
--- a/lib/routes/route_table.cc
+++ b/lib/routes/route_table.cc
@@ -36,7 +36,7 @@
                               std::string_view path) const {
   std::string key = absl::StrCat(HostName(host), ToAbsl(path));
   const std::size_t host_size = key.size() - path.size();
-  // Every prefix ends with a slash, so only those cuts can match.
+  // Every prefix ends with a slash, so only such cuts can match.
   while (key.size() > host_size) {
     const std::size_t slash = key.rfind('/');
     if (slash == std::string::npos || slash < host_size) return nullptr;
--- a/lib/routing/entry_advice.cc
+++ b/lib/routing/entry_advice.cc
@@ -9,24 +9,24 @@
 namespace toucanwharf::routing {
 namespace {
 
-/// An instance at full load still gets this part, so that a wrong load figure
-/// can't cut it off.
-constexpr double kLeastSpare = 0.05;
+/// Minimum spare capacity that an instance counts with, so that a wrong load
+/// figure can't exclude it.
+constexpr double kMinSpare = 0.05;
 
 struct Ranked {
   double rank = 0;
   const EntryInstance* instance = nullptr;
 };
 
-/// Weighted rendezvous hashing: an instance wins a customer with a chance in
-/// proportion to its spare capacity, and when one goes only its customers
-/// move.
+/// Weighted rendezvous hashing: an instance is chosen for a customer with a
+/// probability proportional to its spare capacity, and if one departs only its
+/// customers move.
 double Rank(std::string_view customer, const EntryInstance& instance) {
   const std::uint64_t hash =
       MixBits(HashPrefix(customer) ^ HashPrefix(instance.id));
   Random draw(hash);
   const double unit = std::max(draw.Unit(), 1e-12);
-  const double spare = std::max(1.0 - instance.load, kLeastSpare);
+  const double spare = std::max(1.0 - instance.load, kMinSpare);
   return -spare / std::log(unit);
 }
 
@@ -38,14 +38,13 @@
     if (instance.leaving != leaving) continue;
     ranked.push_back(Ranked{Rank(customer, instance), &instance});
   }
-  std::sort(ranked.begin(), ranked.end(),
-            [](const Ranked& left, const Ranked& right) {
-              return left.rank > right.rank;
-            });
+  std::sort(
+      ranked.begin(), ranked.end(),
+      [](const Ranked& lhs, const Ranked& rhs) { return lhs.rank > rhs.rank; });
   return ranked;
 }
 
-/// Brings the best of each failure domain to the front.
+/// Moves the best of each failure domain to the front.
 void SpreadOverDomains(std::vector<Ranked>& ranked) {
   std::set<std::string_view> seen;
   std::stable_partition(ranked.begin(), ranked.end(), [&](const Ranked& entry) {
@@ -64,14 +63,14 @@
   advice.time_to_live = this->JitteredTimeToLive(random);
   if (ranked.empty()) return advice;
 
-  const double part = 1.0 / static_cast<double>(ranked.size());
-  const bool large = traffic_share > this->settings.large_part * part;
+  const double mean_share = 1.0 / static_cast<double>(ranked.size());
+  const bool large = traffic_share > this->settings.large_fraction * mean_share;
   SpreadOverDomains(ranked);
   if (!large && ranked.size() > this->settings.small_spread) {
     ranked.resize(this->settings.small_spread);
   }
   if (large) {
-    // Each caller of a large customer starts at another instance.
+    // Each caller of a large customer starts at a random instance.
     const auto first = static_cast<std::ptrdiff_t>(
         random.Below(static_cast<std::uint64_t>(ranked.size())));
     std::rotate(ranked.begin(), ranked.begin() + first, ranked.end());
@@ -83,9 +82,9 @@
 }
 
 TimePoint EntryAdvisor::ServeUntil(TimePoint announced) const {
-  const auto longest = std::chrono::duration_cast<Duration>(
+  const auto max_time_to_live = std::chrono::duration_cast<Duration>(
       this->settings.time_to_live * (1.0 + this->settings.jitter));
-  return announced + this->settings.spread_time + longest +
+  return announced + this->settings.propagation_time + max_time_to_live +
          this->settings.margin;
 }
 
--- a/lib/routing/load_view.cc
+++ b/lib/routing/load_view.cc
@@ -7,13 +7,13 @@
 namespace toucanwharf::routing {
 namespace {
 
-/// Weight of one more observation. A tenth: one request that met a stall
+/// Weight of the newest observation. A tenth: one request that met a stall
 /// moves the estimate by little, ten in a row by two thirds.
 constexpr double kSmoothing = 0.1;
 
-/// Bounds of the learned slowdown. The lower keeps a run of short answers from
-/// making an endpoint look faster than its specification by more than half;
-/// the upper keeps a stalled endpoint reachable once it recovers.
+/// Bounds of the estimated slowdown. The lower keeps a run of short answers
+/// from making an endpoint look faster than its specification by more than
+/// half; the upper keeps a stalled endpoint reachable once it recovers.
 constexpr double kMinSlowdown = 0.5;
 constexpr double kMaxSlowdown = 50.0;
 
@@ -40,12 +40,13 @@
   if (entry.reported && report.as_of <= entry.report.as_of) return;
   entry.report = report;
   entry.reported = true;
-  while (!entry.unseen.empty() && entry.unseen.front().at <= report.as_of) {
-    const Change& seen = entry.unseen.front();
-    entry.unseen_requests -= seen.requests;
-    entry.unseen_tokens -= seen.tokens;
-    entry.unseen_kv_tokens -= seen.kv_tokens;
-    entry.unseen.pop_front();
+  while (!entry.unreported.empty() &&
+         entry.unreported.front().at <= report.as_of) {
+    const Change& seen = entry.unreported.front();
+    entry.unreported_requests -= seen.requests;
+    entry.unreported_tokens -= seen.tokens;
+    entry.unreported_kv_tokens -= seen.kv_tokens;
+    entry.unreported.pop_front();
   }
 }
 
@@ -57,21 +58,21 @@
   if (entry.mean_tokens == 0) entry.mean_tokens = work.Tokens();
   entry.mean_tokens += kSmoothing * (work.Tokens() - entry.mean_tokens);
   // The request reaches the endpoint a link delay later; a report made before
-  // that can't show it.
-  Note(entry, Change{now + entry.spec.link, 1, work.Tokens(), kv});
+  // that can't include it.
+  RecordChange(entry, Change{now + entry.spec.link, 1, work.Tokens(), kv});
 }
 
 void LoadView::Finished(TimePoint now, Endpoint endpoint, const Work& work) {
   Entry& entry = this->At(endpoint);
-  assert(entry.in_flight > 0 && "only work that was started can finish");
+  assert(entry.in_flight > 0 && "no work in flight");
   --entry.in_flight;
   const double kv = work.KvTokens();
   entry.kv_in_flight -= kv;
-  Note(entry, Change{now, -1, -work.Tokens(), -kv});
+  RecordChange(entry, Change{now, -1, -work.Tokens(), -kv});
 }
 
 void LoadView::Observed(Endpoint endpoint, Duration expected, Duration actual) {
-  assert(expected.count() > 0 && "the expectation is a positive time");
+  assert(expected.count() > 0 && "expected time is not positive");
   Entry& entry = this->At(endpoint);
   const double ratio =
       std::clamp(Seconds(actual) / Seconds(expected), 0.1, kMaxSlowdown);
@@ -96,20 +97,20 @@
 Duration LoadView::ExpectedWait(Endpoint endpoint, const Work& work) const {
   const Entry& entry = this->At(endpoint);
   const double kv = work.KvTokens();
-  const bool memory = !entry.reported || this->KvFree(endpoint) >= kv;
-  if (memory && this->Occupied(endpoint) < entry.spec.slots) return Duration{0};
+  const bool has_kv = !entry.reported || this->KvFree(endpoint) >= kv;
+  if (has_kv && this->Occupied(endpoint) < entry.spec.slots) return Duration{0};
   const double speed = entry.spec.slots / Seconds(entry.spec.token_gap);
-  const double queued =
-      std::max(entry.report.queued_tokens + std::max(entry.unseen_tokens, 0.0),
-               entry.mean_tokens);
+  const double queued = std::max(
+      entry.report.queued_tokens + std::max(entry.unreported_tokens, 0.0),
+      entry.mean_tokens);
   return FromSeconds(queued / speed * entry.slowdown);
 }
 
 double LoadView::Occupied(Endpoint endpoint) const {
   const Entry& entry = this->At(endpoint);
   const double seen = entry.report.running + this->QueuedAtReport(endpoint);
-  // Own work in flight is certain, whatever a report says.
-  return std::max(seen + entry.unseen_requests,
+  // This router's work in flight is certain, whatever a report says.
+  return std::max(seen + entry.unreported_requests,
                   static_cast<double>(entry.in_flight));
 }
 
@@ -120,7 +121,7 @@
 
 double LoadView::KvFree(Endpoint endpoint) const {
   const Entry& entry = this->At(endpoint);
-  return entry.report.kv_tokens_free - entry.unseen_kv_tokens;
+  return entry.report.kv_tokens_free - entry.unreported_kv_tokens;
 }
 
 std::uint32_t LoadView::InFlight(Endpoint endpoint) const {
@@ -129,7 +130,8 @@
 
 std::uint32_t LoadView::InFlightAtReport(Endpoint endpoint) const {
   const Entry& entry = this->At(endpoint);
-  const int seen = static_cast<int>(entry.in_flight) - entry.unseen_requests;
+  const int seen =
+      static_cast<int>(entry.in_flight) - entry.unreported_requests;
   return static_cast<std::uint32_t>(std::max(seen, 0));
 }
 
@@ -143,7 +145,7 @@
 
 double LoadView::KvInFlightAtReport(Endpoint endpoint) const {
   const Entry& entry = this->At(endpoint);
-  return std::max(entry.kv_in_flight - entry.unseen_kv_tokens, 0.0);
+  return std::max(entry.kv_in_flight - entry.unreported_kv_tokens, 0.0);
 }
 
 const LoadReport& LoadView::LastReport(Endpoint endpoint) const {
@@ -154,20 +156,20 @@
   return this->At(endpoint).spec;
 }
 
-void LoadView::Note(Entry& entry, const Change& change) {
-  entry.unseen.push_back(change);
-  entry.unseen_requests += change.requests;
-  entry.unseen_tokens += change.tokens;
-  entry.unseen_kv_tokens += change.kv_tokens;
+void LoadView::RecordChange(Entry& entry, const Change& change) {
+  entry.unreported.push_back(change);
+  entry.unreported_requests += change.requests;
+  entry.unreported_tokens += change.tokens;
+  entry.unreported_kv_tokens += change.kv_tokens;
 }
 
 const LoadView::Entry& LoadView::At(Endpoint endpoint) const {
-  assert(IndexOf(endpoint) < this->entries.size() && "endpoint was added");
+  assert(IndexOf(endpoint) < this->entries.size() && "endpoint is unknown");
   return this->entries[IndexOf(endpoint)];
 }
 
 LoadView::Entry& LoadView::At(Endpoint endpoint) {
-  assert(IndexOf(endpoint) < this->entries.size() && "endpoint was added");
+  assert(IndexOf(endpoint) < this->entries.size() && "endpoint is unknown");
   return this->entries[IndexOf(endpoint)];
 }
 
--- a/lib/routing/prefix_index.cc
+++ b/lib/routing/prefix_index.cc
@@ -7,7 +7,7 @@
 namespace toucanwharf::routing {
 namespace {
 
-constexpr double kWorthAfterGap = 0.5;
+constexpr double kConfidenceAfterGap = 0.5;
 
 }  // namespace
 
@@ -39,11 +39,11 @@
   this->sources.erase(source);
 }
 
-double PrefixIndex::Worth(const Holder& holder) const {
+double PrefixIndex::ExpectedTokens(const Holder& holder) const {
   const auto source = this->sources.find(IndexOf(holder.endpoint));
-  const bool missed =
+  const bool uncertain =
       source == this->sources.end() || source->second.gaps != holder.gaps;
-  return missed ? holder.tokens * kWorthAfterGap : holder.tokens;
+  return uncertain ? holder.tokens * kConfidenceAfterGap : holder.tokens;
 }
 
 void PrefixIndex::Store(Endpoint endpoint, Source& source,
@@ -54,7 +54,7 @@
   if (source.stored.size() <= this->per_endpoint) return;
   const std::uint64_t oldest = source.stored.front();
   source.stored.pop_front();
-  // A prefix that was stored again since stands in the list twice.
+  // A prefix that was stored again since is in the list twice.
   const auto again =
       std::find(source.stored.begin(), source.stored.end(), oldest);
   if (again == source.stored.end()) this->Evict(endpoint, oldest);
--- a/unittests/admission/queue_test.cc
+++ b/unittests/admission/queue_test.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// In order of arrival: what the queue is held against.
+/// Serves in order of arrival: the baseline for FairQueue.
 class ArrivalQueue {
  public:
   CustomerNumber NumberOf(const std::string& name) {
@@ -36,7 +36,7 @@
   std::deque<Ticket> tickets;
 };
 
-class OurQueue {
+class FairQueueAdapter {
  public:
   CustomerNumber NumberOf(const std::string& name) {
     return this->queue.SharesOf().NumberOf(name);
@@ -54,29 +54,30 @@
   FairQueue queue;
 };
 
-/// One server of 1000 tokens a second behind a queue, on virtual time.
+/// Simulates one server of 1000 tokens per second behind a queue, on virtual
+/// time.
 template <typename Queue>
-class Play {
+class Simulation {
  public:
   void Arrive(TimePoint at, const std::string& customer, double cost,
-              Duration patience = seconds(60)) {
+              Duration time_limit = seconds(60)) {
     Ticket ticket;
     ticket.id = std::to_string(this->count++);
     ticket.customer = this->queue.NumberOf(customer);
     ticket.cost = cost;
     ticket.arrived = at;
-    ticket.deadline = at + patience;
+    ticket.deadline = at + time_limit;
     this->queue.Push(at, ticket);
   }
 
-  /// Serves all; returns the longest wait of `customer` by size of work.
-  std::map<double, Duration> LongestWaits(const std::string& customer) {
+  /// Serves all; returns the maximum wait of `customer` by cost.
+  std::map<double, Duration> MaxWaits(const std::string& customer) {
     std::map<double, Duration> waits;
     TimePoint now;
     while (const auto next = this->queue.Next(now)) {
-      Duration& longest = waits[next->cost];
+      Duration& max_wait = waits[next->cost];
       if (next->customer == this->queue.NumberOf(customer)) {
-        longest = std::max(longest, now - next->arrived);
+        max_wait = std::max(max_wait, now - next->arrived);
       }
       now = now + Duration{static_cast<std::int64_t>(next->cost * 1000)};
     }
@@ -90,55 +91,55 @@
 
 template <typename Queue>
 Duration SmallCustomersWait() {
-  Play<Queue> play;
+  Simulation<Queue> simulation;
   for (int request = 0; request < 100; ++request) {
-    play.Arrive(TimePoint{}, "large", 100);
+    simulation.Arrive(TimePoint{}, "large", 100);
   }
   for (int request = 0; request < 3; ++request) {
-    play.Arrive(TimePoint{}, "small", 100);
+    simulation.Arrive(TimePoint{}, "small", 100);
   }
-  return play.LongestWaits("small").at(100);
+  return simulation.MaxWaits("small").at(100);
 }
 
-// A large customer sends a burst of a hundred requests, a small one three
-// right after. In order of arrival the small one waits ten seconds.
-BOOST_AUTO_TEST_CASE(BurstOfOneCustomerIsNotEveryonesWait) {
+// A large customer sends a burst of a hundred requests, a small one three right
+// after. In order of arrival the small one waits ten seconds.
+BOOST_AUTO_TEST_CASE(BurstOfOneCustomerDoesNotDelayOthers) {
   BOOST_TEST(SmallCustomersWait<ArrivalQueue>().count() >= 10000000);
-  BOOST_TEST(SmallCustomersWait<OurQueue>().count() <= 1200000);
+  BOOST_TEST(SmallCustomersWait<FairQueueAdapter>().count() <= 1200000);
 }
 
 template <typename Queue>
-Duration ShortWorksWait() {
-  Play<Queue> play;
+Duration ShortWorkWait() {
+  Simulation<Queue> simulation;
   for (int request = 0; request < 10; ++request) {
-    play.Arrive(TimePoint{}, "one", 2000);
+    simulation.Arrive(TimePoint{}, "one", 2000);
   }
   for (int request = 0; request < 10; ++request) {
-    play.Arrive(TimePoint{}, "one", 20);
+    simulation.Arrive(TimePoint{}, "one", 20);
   }
-  return play.LongestWaits("one").at(20);
+  return simulation.MaxWaits("one").at(20);
 }
 
 // A customer queues ten reports and then ten short questions. In order of
 // arrival the questions wait for all reports, twenty seconds.
 BOOST_AUTO_TEST_CASE(ShortWorkIsNotStuckBehindLong) {
-  BOOST_TEST(ShortWorksWait<ArrivalQueue>().count() >= 20000000);
-  BOOST_TEST(ShortWorksWait<OurQueue>().count() <= 2200000);
+  BOOST_TEST(ShortWorkWait<ArrivalQueue>().count() >= 20000000);
+  BOOST_TEST(ShortWorkWait<FairQueueAdapter>().count() <= 2200000);
 }
 
 template <typename Queue>
-Duration UrgentWorksWait() {
-  Play<Queue> play;
+Duration UrgentWorkWait() {
+  Simulation<Queue> simulation;
   for (int request = 0; request < 20; ++request) {
-    play.Arrive(TimePoint{}, "a", 100, seconds(60));
+    simulation.Arrive(TimePoint{}, "a", 100, seconds(60));
   }
-  play.Arrive(TimePoint{}, "a", 101, seconds(1));
-  return play.LongestWaits("a").at(101);
+  simulation.Arrive(TimePoint{}, "a", 101, seconds(1));
+  return simulation.MaxWaits("a").at(101);
 }
 
 BOOST_AUTO_TEST_CASE(EarliestDeadlineGoesFirstWithinACustomer) {
-  BOOST_TEST(UrgentWorksWait<ArrivalQueue>().count() >= 2000000);
-  BOOST_TEST(UrgentWorksWait<OurQueue>().count() == 0);
+  BOOST_TEST(UrgentWorkWait<ArrivalQueue>().count() >= 2000000);
+  BOOST_TEST(UrgentWorkWait<FairQueueAdapter>().count() == 0);
 }
 
 Ticket MakeTicket(FairQueue& queue, const std::string& id, TimePoint now) {
@@ -148,20 +149,20 @@
   ticket.cost = 100;
   ticket.arrived = now;
   ticket.deadline = now + seconds(5);
-  ticket.least_service = milliseconds(500);
+  ticket.min_service_time = milliseconds(500);
   return ticket;
 }
 
-// All endpoints stall while requests wait. Holding them until their deadline
-// has passed would cost their callers the time to go elsewhere.
-BOOST_AUTO_TEST_CASE(LostRequestIsGivenUpAtOnce) {
+// All endpoints stall while requests are queued. Holding them until their
+// deadline has passed would cost their callers the time to go elsewhere.
+BOOST_AUTO_TEST_CASE(UnservableRequestIsRefusedEarly) {
   FairQueue queue;
   const TimePoint start;
   queue.Push(start, MakeTicket(queue, "r", start));
-  BOOST_TEST(queue.TakeLapsed(start + milliseconds(4250)).empty());
-  // 4.25 s are the last moment at which half a second of prefill and a quarter
-  // of delay at the endpoint still fit.
-  BOOST_TEST(queue.TakeLapsed(start + milliseconds(4251)).size() == 1u);
+  BOOST_TEST(queue.TakeExpired(start + milliseconds(4250)).empty());
+  // 4.25 s is the latest time at which half a second of prefill and a quarter
+  // of a second of delay at the endpoint still fit.
+  BOOST_TEST(queue.TakeExpired(start + milliseconds(4251)).size() == 1u);
   BOOST_TEST(queue.size() == 0u);
 }
 
@@ -171,7 +172,7 @@
   for (int at = 0; at < 100; ++at) {
     queue.Push(now, MakeTicket(queue, std::to_string(at), now));
   }
-  // 1,000 tokens a second leave.
+  // The queue drains at 1,000 tokens per second.
   for (int at = 0; at < 50; ++at) {
     now = now + milliseconds(100);
     queue.Take(now, queue.Front()->id);
@@ -184,46 +185,46 @@
   BOOST_TEST(wait > 4.5);
   BOOST_TEST(wait < 5.5);
   BOOST_TEST(queue.ExpectedWait(now, other, 100)->count() == 0);
-  // Nothing leaves any more: within seconds the estimate says so.
+  // The queue stops draining: the estimate follows within seconds.
   now = now + seconds(3);
   BOOST_TEST(queue.ExpectedWait(now, same, 100)->count() > 15000000);
 }
 
-/// Callers that try each request up to four times against endpoints that fail
-/// all. Returns tries for each request.
-double TriesInAStorm(RetryBudget budget) {
-  int tries = 0;
+/// Simulates callers that attempt each request up to four times against
+/// endpoints that all fail; returns the attempts per request.
+double AttemptsInAStorm(RetryBudget budget) {
+  int attempts = 0;
   TimePoint now;
   for (int request = 0; request < 10000; ++request) {
     now = now + milliseconds(1);
-    budget.FirstTry(now);
-    ++tries;
+    budget.OnFirstAttempt(now);
+    ++attempts;
     for (int retry = 0; retry < 3; ++retry) {
-      if (!budget.TakeRetry(now, TryOutcome::kNotRun, true)) break;
-      ++tries;
+      if (!budget.TakeRetry(now, PriorAttempt::kNotRun, true)) break;
+      ++attempts;
     }
   }
-  return tries / 10000.0;
+  return attempts / 10000.0;
 }
 
-// Every endpoint refuses for ten seconds. With three retries for each request
-// the load is four times what already was too much.
-BOOST_AUTO_TEST_CASE(RetriesDoNotFeedAStorm) {
+// Every endpoint refuses for ten seconds. Three retries for each request
+// multiply a load that was already too high by four.
+BOOST_AUTO_TEST_CASE(RetriesDoNotAmplifyAStorm) {
   RetryBudgetSettings naive;
-  naive.share = 3;
-  naive.most = 1e9;
-  BOOST_TEST(TriesInAStorm(RetryBudget(naive)) == 4.0);
-  BOOST_TEST(TriesInAStorm(RetryBudget{}) < 1.12);
+  naive.ratio = 3;
+  naive.max_tokens = 1e9;
+  BOOST_TEST(AttemptsInAStorm(RetryBudget(naive)) == 4.0);
+  BOOST_TEST(AttemptsInAStorm(RetryBudget{}) < 1.12);
 }
 
-// A signature was sent and the connection broke. A second try could sign the
+// A signature request was sent and the connection broke. A retry could sign the
 // lot twice (I4).
-BOOST_AUTO_TEST_CASE(WhatMayHaveRunIsNotTriedAgain) {
+BOOST_AUTO_TEST_CASE(RequestThatMayHaveRunIsNotRetried) {
   RetryBudget budget;
-  budget.FirstTry(TimePoint{});
-  BOOST_TEST(!budget.TakeRetry(TimePoint{}, TryOutcome::kUnknown, false));
+  budget.OnFirstAttempt(TimePoint{});
+  BOOST_TEST(!budget.TakeRetry(TimePoint{}, PriorAttempt::kUnknown, false));
   BOOST_TEST(!budget.TakeHedge(TimePoint{}, false));
-  BOOST_TEST(budget.TakeRetry(TimePoint{}, TryOutcome::kNotRun, false));
+  BOOST_TEST(budget.TakeRetry(TimePoint{}, PriorAttempt::kNotRun, false));
 }
 
 }  // namespace
--- a/unittests/admission/shares_test.cc
+++ b/unittests/admission/shares_test.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Serves `count` pieces of `cost` tokens to whoever's turn it is, all
+/// Serves `count` pieces of `cost` tokens to the next customer in order, all
 /// customers having endless work. Returns the tokens of each.
 std::map<CustomerNumber, double> Serve(Shares& shares, int count, double cost) {
   std::map<CustomerNumber, double> served;
@@ -56,24 +56,24 @@
   }
 }
 
-// A customer was silent all night and sends a burst in the morning. If unused
+// A customer was idle all night and sends a burst in the morning. If unused
 // share were saved up, everyone else would wait until the night is paid back.
 BOOST_AUTO_TEST_CASE(IdleTimeIsSavedUpToTheCreditOnly) {
   Shares shares;
   const CustomerNumber busy = shares.NumberOf("busy");
-  const CustomerNumber silent = shares.NumberOf("silent");
+  const CustomerNumber idle = shares.NumberOf("silent");
   shares.Activate(busy);
   Serve(shares, 1000, 100);
-  shares.Activate(silent);
+  shares.Activate(idle);
   // An even half, less half of the credit that it may save up.
   const auto served = Serve(shares, 400, 100);
   const double credit = SharesSettings{}.credit;
   BOOST_TEST(served.at(busy) >= 20000 - credit / 2 - 100);
 }
 
-/// Two instances of equal speed. `large` has work on both, `small` on the
-/// first only. Returns the part of all tokens that `small` got.
-double PartOfSmall(bool gossip, bool silent_later) {
+/// Simulates two instances of equal speed. `large` has work on both, `small` on
+/// the first only. Returns the fraction of all tokens that `small` got.
+double FractionOfSmall(bool gossip, bool partitioned_later) {
   std::vector<Shares> shares(2);
   double small_tokens = 0;
   double all = 0;
@@ -88,8 +88,8 @@
       all += 100;
       if (each.NameOf(next) == "small") small_tokens += 100;
     }
-    const bool heard = gossip && !(silent_later && round >= 100);
-    if (heard && round % 5 == 0) {
+    const bool connected = gossip && !(partitioned_later && round >= 100);
+    if (connected && round % 5 == 0) {
       shares[0].MergePeerUsage(now, "b", shares[1].Served());
       shares[1].MergePeerUsage(now, "a", shares[0].Served());
     }
@@ -99,22 +99,22 @@
 }
 
 // A large customer sends to both instances, a small one to one of them. With
-// shares for each instance alone the large one gets three quarters.
+// shares per instance alone the large one gets three quarters.
 BOOST_AUTO_TEST_CASE(SharesHoldOverAllInstances) {
-  BOOST_TEST(PartOfSmall(false, false) < 0.27);
-  BOOST_TEST(PartOfSmall(true, false) > 0.45);
+  BOOST_TEST(FractionOfSmall(false, false) < 0.27);
+  BOOST_TEST(FractionOfSmall(true, false) > 0.45);
 }
 
-// The instances lose each other after ten seconds and both serve on. Without a
-// charge for the silent peer the large customer's share jumps back to three
-// quarters for as long as the partition lasts.
-BOOST_AUTO_TEST_CASE(SilentPeerIsChargedAtItsLastRate) {
-  BOOST_TEST(PartOfSmall(true, true) > 0.43);
+// The instances are partitioned after ten seconds and both continue to serve.
+// Without a charge for the unresponsive peer the large customer's share jumps
+// back to three quarters for as long as the partition lasts.
+BOOST_AUTO_TEST_CASE(UnresponsivePeerIsChargedAtItsLastRate) {
+  BOOST_TEST(FractionOfSmall(true, true) > 0.43);
 }
 
 // An answer ends shorter than it was charged for, so its customer's use here
-// falls. A peer that took the lower total for a restart would charge all of it
-// again, and the customer would be shut out there.
+// decreases. A peer that took the lower total for a restart would charge all of
+// it again, and the customer would get nothing there.
 BOOST_AUTO_TEST_CASE(CorrectionIsNotTakenForARestart) {
   Shares here;
   Shares peer;
@@ -131,13 +131,13 @@
   // Nothing is used here; all of the customer's use is remote.
   here.Charge(here.NumberOf("d"), 5000);
   here.Tick(now + milliseconds(500));
-  // `d` uses 3,000 a second at this instance, `c` 100 at the peer.
-  BOOST_TEST(here.PartOfPool().value_or(0) > 0.5);
+  // `d` uses 3,000 tokens per second at this instance, `c` 100 at the peer.
+  BOOST_TEST(here.PoolShare().value_or(0) > 0.5);
 }
 
-// Two instances; a customer far over its share fills one, small ones the other.
-// With equal parts the small ones wait while the other instance serves the
-// large one.
+// A customer far over its share fills one of two instances, small customers the
+// other. With equal fractions the small ones wait while the other instance
+// serves the large one.
 BOOST_AUTO_TEST_CASE(InstanceOfSmallCustomersIsEntitledToMore) {
   Shares small;
   Shares large;
@@ -153,8 +153,8 @@
     small.Tick(now);
     large.Tick(now);
   }
-  BOOST_TEST(*small.PartOfPool() > 0.55);
-  BOOST_TEST(*large.PartOfPool() < 0.45);
+  BOOST_TEST(*small.PoolShare() > 0.55);
+  BOOST_TEST(*large.PoolShare() < 0.45);
 }
 
 // A peer's total arrives twice, and an older one after a newer one.
@@ -167,7 +167,7 @@
   shares.MergePeerUsage(TimePoint{seconds(3)}, "p", Usage{{{"c", 300}}});
   shares.Activate(customer);
   shares.Activate(other);
-  // Owes 200: the other gets two pieces of 100 first.
+  // The customer owes 200: the other gets two pieces of 100 first.
   const auto served = Serve(shares, 2, 100);
   BOOST_TEST(served.at(other) == 200.0);
 }
--- a/unittests/attempts/attempt_policy_test.cc
+++ b/unittests/attempts/attempt_policy_test.cc
@@ -17,7 +17,7 @@
   return route;
 }
 
-rc::Gen<AttemptOutcome> AnyEnd() {
+rc::Gen<AttemptOutcome> AnyOutcome() {
   return rc::gen::element(AttemptOutcome::kNotSent, AttemptOutcome::kNotRun,
                           AttemptOutcome::kUnknown, AttemptOutcome::kFailed);
 }
@@ -27,44 +27,45 @@
                           RequestKind::kStream);
 }
 
-/// Plays a request to its end; \p step is told each try's end.
-struct Played {
+/// Outcome of a request.
+struct Result {
   int may_have_run = 0;
   NextStep last = NextStep::kRetry;
 };
 
-Played Play(const routes::Route& route,
-            const std::vector<AttemptOutcome>& ends) {
-  Played played;
-  AttemptCounts tries;
-  for (const AttemptOutcome end : ends) {
-    ++tries.total;
-    const bool ran =
-        end == AttemptOutcome::kUnknown || end == AttemptOutcome::kFailed;
-    if (ran) ++tries.may_have_run;
-    played.may_have_run = tries.may_have_run;
-    played.last = NextStepAfter(route, tries, end, true);
-    if (played.last != NextStep::kRetry) return played;
+Result RunAttempts(const routes::Route& route,
+                   const std::vector<AttemptOutcome>& outcomes) {
+  Result result;
+  AttemptCounts counts;
+  for (const AttemptOutcome outcome : outcomes) {
+    ++counts.total;
+    const bool ran = outcome == AttemptOutcome::kUnknown ||
+                     outcome == AttemptOutcome::kFailed;
+    if (ran) ++counts.may_have_run;
+    result.may_have_run = counts.may_have_run;
+    result.last = NextStepAfter(route, counts, outcome, true);
+    if (result.last != NextStep::kRetry) return result;
   }
-  return played;
+  return result;
 }
 
-// Whatever happens at the endpoints, work that must not run twice runs at most
-// once (I4), and "not run" is said only of what surely did not run (I3).
+// For any outcomes at the endpoints, a request that must not run twice runs at
+// most once (I4), and "not run" is reported only if it certainly did not run
+// (I3).
 RC_BOOST_PROP(NonIdempotentRunsOnceAndRefusalsAreTrue, ()) {
   const auto kind = *AnyKind();
   const bool resumable = *rc::gen::arbitrary<bool>();
   const auto route = MakeRoute(kind, resumable, *rc::gen::inRange(1, 4));
-  const auto ends =
-      *rc::gen::container<std::vector<AttemptOutcome>>(12, AnyEnd());
-  const Played played = Play(route, ends);
-  if (!route.Repeatable()) RC_ASSERT(played.may_have_run <= 1);
-  RC_ASSERT(played.may_have_run <= route.max_attempts);
-  RC_ASSERT(played.last != NextStep::kRetry);
-  if (played.last == NextStep::kRefuse) RC_ASSERT(played.may_have_run == 0);
+  const auto outcomes =
+      *rc::gen::container<std::vector<AttemptOutcome>>(12, AnyOutcome());
+  const Result result = RunAttempts(route, outcomes);
+  if (!route.Repeatable()) RC_ASSERT(result.may_have_run <= 1);
+  RC_ASSERT(result.may_have_run <= route.max_attempts);
+  RC_ASSERT(result.last != NextStep::kRetry);
+  if (result.last == NextStep::kRefuse) RC_ASSERT(result.may_have_run == 0);
 }
 
-BOOST_AUTO_TEST_CASE(FailureOfLastTryIsHandedOn) {
+BOOST_AUTO_TEST_CASE(FailureOfLastAttemptIsRelayed) {
   const auto route = MakeRoute(RequestKind::kIdempotent, false, 2);
   BOOST_CHECK(NextStepAfter(route, {1, 1, false}, AttemptOutcome::kFailed,
                             true) == NextStep::kRetry);
@@ -74,9 +75,9 @@
                             false) == NextStep::kRelayFailure);
 }
 
-// Part of an answer is out and the rest can't be had: the connection breaks, so
-// that the part can't look whole (I2).
-BOOST_AUTO_TEST_CASE(BegunAnswerIsBrokenOff) {
+// Part of an answer has been sent and the rest is unobtainable: the connection
+// is aborted, so that the part can't look complete (I2).
+BOOST_AUTO_TEST_CASE(StartedAnswerIsAborted) {
   const auto route = MakeRoute(RequestKind::kStream, false, 2);
   BOOST_CHECK(NextStepAfter(route, {1, 1, true}, AttemptOutcome::kUnknown,
                             true) == NextStep::kAbort);
--- a/unittests/attempts/startup_wait_test.cc
+++ b/unittests/attempts/startup_wait_test.cc
@@ -9,13 +9,14 @@
 
 TimePoint At(int millis) { return TimePoint{milliseconds(millis)}; }
 
-// A fleet lost its power. Two hundred callers come back in the first moment;
-// all wait, and none after the store has had its time to answer.
-BOOST_AUTO_TEST_CASE(CallersOfTheFirstMomentWait) {
+// A fleet restarts after a power loss, and two hundred callers come back
+// immediately. All of them wait, but none once the store has had its time to
+// answer.
+BOOST_AUTO_TEST_CASE(CallersRightAfterTheStartWait) {
   StartupWait wait(At(1000));
   constexpr int kCallers = 200;
   constexpr std::size_t kBytes = 1500;
-  for (int at = 0; at < kCallers; ++at) {
+  for (int i = 0; i < kCallers; ++i) {
     BOOST_REQUIRE(wait.Enter(kBytes, At(1005)));
   }
   BOOST_TEST(wait.Enter(kBytes, At(1249)));
@@ -23,7 +24,7 @@
   BOOST_TEST(wait.Expired(At(1250)));
 }
 
-// Requests with large bodies must not use up the memory of a small instance.
+// Requests with large bodies must not exhaust the memory of a small instance.
 BOOST_AUTO_TEST_CASE(WaitingBytesAreBounded) {
   StartupWait wait(At(0), {milliseconds(250), 1000});
   BOOST_TEST(wait.Enter(600, At(1)));
--- a/unittests/placement/layout_test.cc
+++ b/unittests/placement/layout_test.cc
@@ -22,11 +22,11 @@
   return FindPath(model, Idle(fleet), query, {}, random).path.has_value();
 }
 
-int Moves(const std::vector<Accelerator>& fleet, const Layout& layout) {
+int CountMoves(const std::vector<Accelerator>& fleet, const Layout& layout) {
   int moves = 0;
-  for (const Accelerator& one : fleet) {
-    const auto found = layout.find(one.id);
-    if (found != layout.end() && found->second != one.layers) ++moves;
+  for (const Accelerator& engine : fleet) {
+    const auto found = layout.find(engine.id);
+    if (found != layout.end() && found->second != engine.layers) ++moves;
   }
   return moves;
 }
@@ -38,39 +38,39 @@
       AddEngines(fleet, domain, kind, *rc::gen::inRange(0, 12));
     }
   }
-  for (Accelerator& one : fleet) {
+  for (Accelerator& engine : fleet) {
     const auto begin = *rc::gen::inRange<std::uint32_t>(0, 80);
     const auto count = *rc::gen::inRange<std::uint32_t>(0, 8);
-    one.layers = {begin, std::min(begin + count, 80U)};
+    engine.layers = {begin, std::min(begin + count, 80U)};
   }
   return fleet;
 }
 
-// An engine that is told to hold more than fits crashes, and takes every
-// answer that runs through it along.
+// An engine that is ordered to hold more than fits crashes, and aborts every
+// answer that runs through it.
 RC_BOOST_PROP(NeverMoreLayersThanFit, ()) {
   const EngineModel model = LargeModel();
   const auto fleet = AnyFleet();
   for (const auto& each : PlanLayout(model, fleet, {})) {
     const pipeline::LayerRange layers = each.second;
-    const auto one =
+    const auto engine =
         std::find_if(fleet.begin(), fleet.end(),
                      [&](const auto& it) { return it.id == each.first; });
-    RC_ASSERT(one != fleet.end());
+    RC_ASSERT(engine != fleet.end());
     RC_ASSERT(layers.end <= model.layers);
     RC_ASSERT(layers.begin <= layers.end);
-    const double memory = model.FindKind(one->kind)->memory_mb;
+    const double memory = model.FindKind(engine->kind)->memory_mb;
     RC_ASSERT(layers.Count() * model.layer_mb < memory);
   }
 }
 
-// Whoever plans next, from what the engines hold, leaves them as they are:
-// a new lease holder must not move layers.
+// Any later plan from what the engines hold leaves them as they are: a new
+// lease holder must not move layers.
 RC_BOOST_PROP(PlanOfAPlanMovesNothing, ()) {
   const EngineModel model = LargeModel();
   const auto fleet = AnyFleet();
   const auto placed = Placed(fleet, PlanLayout(model, fleet, {}));
-  RC_ASSERT(Moves(placed, PlanLayout(model, placed, {})) == 0);
+  RC_ASSERT(CountMoves(placed, PlanLayout(model, placed, {})) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(EveryDomainGetsACoverOfItsOwn) {
@@ -78,15 +78,16 @@
   const auto placed = Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {}));
   for (const std::string& domain : kDomains) {
     std::vector<Accelerator> alone;
-    std::copy_if(placed.begin(), placed.end(), std::back_inserter(alone),
-                 [&](const auto& one) { return one.failure_domain == domain; });
+    std::copy_if(
+        placed.begin(), placed.end(), std::back_inserter(alone),
+        [&](const auto& engine) { return engine.failure_domain == domain; });
     BOOST_TEST(Serves(model, alone), "no cover in domain " << domain);
   }
 }
 
-// Any one engine dies. Some path is left at once, without a load; and then a
-// few loads, not a new layout of everything, bring the cover back.
-BOOST_AUTO_TEST_CASE(OneDeadEngineIsGoneAroundAndReplaced) {
+// Any one engine dies. Some path remains immediately, without a load; then a
+// few loads, not a new layout of everything, restore the cover.
+BOOST_AUTO_TEST_CASE(OneDeadEngineIsBypassedAndReplaced) {
   const EngineModel model = LargeModel();
   const auto placed = Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {}));
   for (std::size_t dead = 0; dead < placed.size(); ++dead) {
@@ -95,12 +96,13 @@
     BOOST_REQUIRE(Serves(model, left));
     const auto layout = PlanLayout(model, left, {});
     // At most its own failure domain's engines move.
-    BOOST_REQUIRE(Moves(left, layout) <= 15);
+    BOOST_REQUIRE(CountMoves(left, layout) <= 15);
     BOOST_REQUIRE(Serves(model, Placed(left, layout)));
   }
 }
 
-/// Two slow kinds that are about as fast, one with half as much memory again.
+/// A model with two slow kinds that are equally fast, one with half as much
+/// memory again.
 EngineModel ModelOfSlowKinds() {
   EngineModel model = LargeModel();
   model.token_mb = 0.426;
@@ -118,92 +120,94 @@
   return fleet;
 }
 
-LayoutSettings RoomForEighty() {
+LayoutSettings CapacityForEighty() {
   LayoutSettings settings;
-  settings.wanted_answers = 80;
+  settings.target_answers = 80;
   return settings;
 }
 
 int LayersWithSecondHolder(const EngineModel& model, const Layout& layout) {
   std::vector<int> holders(model.layers, 0);
   for (const auto& [id, layers] : layout) {
-    for (std::uint32_t at = layers.begin; at < layers.end; ++at) ++holders[at];
+    for (std::uint32_t i = layers.begin; i < layers.end; ++i) ++holders[i];
   }
   return static_cast<int>(std::count_if(holders.begin(), holders.end(),
                                         [](int count) { return count > 1; }));
 }
 
-// Five engines of a fleet turn slow at once, each the only one of its failure
-// domain with its layers. Every answer went through a slow one for seconds, and
-// half of the callers left, while engines beside it stood idle.
-BOOST_AUTO_TEST_CASE(EnginesToSpareCopyHalfOfTheLayers) {
+// Guards against layers with a single holder: five engines of a fleet slow down
+// together, each the only one of its failure domain with its layers. Every
+// answer went through a slow one for seconds, and half of the callers
+// disconnected, while engines beside it were idle.
+BOOST_AUTO_TEST_CASE(StandbyEnginesCopyHalfOfTheLayers) {
   const EngineModel model = ModelOfSlowKinds();
-  const Layout layout = PlanLayout(model, OneDomain(), RoomForEighty());
+  const Layout layout = PlanLayout(model, OneDomain(), CapacityForEighty());
   BOOST_TEST(layout.size() == OneDomain().size());
   BOOST_TEST(LayersWithSecondHolder(model, layout) >= 40);
 }
 
-// Eleven engines on every path are hit more often than seven, and leave fewer
-// to stand by.
-/// Returns for how many answers the path of \p fleet that has most room for
-/// them has room at each of its engines; 0 if no path has all layers.
-double AnswersOfRoomiestPath(const EngineModel& model,
-                             const std::vector<Accelerator>& fleet) {
-  std::vector<double> room_up_to(model.layers + 1, 0);
-  room_up_to[0] = model.slots;
-  for (std::uint32_t at = 0; at < model.layers; ++at) {
-    for (const Accelerator& one : fleet) {
-      if (at < one.layers.begin || at >= one.layers.end) continue;
+/// Returns for how many answers the path of \p fleet with the most capacity has
+/// capacity at each of its engines; 0 if no path has all layers.
+double MaxAnswersOfAnyPath(const EngineModel& model,
+                           const std::vector<Accelerator>& fleet) {
+  std::vector<double> capacity_up_to(model.layers + 1, 0);
+  capacity_up_to[0] = model.slots;
+  for (std::uint32_t layer = 0; layer < model.layers; ++layer) {
+    for (const Accelerator& engine : fleet) {
+      if (layer < engine.layers.begin || layer >= engine.layers.end) continue;
       const double each =
           (model.mean_prompt_tokens + model.mean_answer_tokens) *
-          model.token_mb / model.layers * one.layers.Count();
-      const double memory = model.FindKind(one.kind)->memory_mb -
-                            one.layers.Count() * model.layer_mb;
-      const double room = std::min(room_up_to[at], memory / each);
-      for (std::uint32_t to = at + 1; to <= one.layers.end; ++to) {
-        room_up_to[to] = std::max(room_up_to[to], room);
+          model.token_mb / model.layers * engine.layers.Count();
+      const double memory = model.FindKind(engine.kind)->memory_mb -
+                            engine.layers.Count() * model.layer_mb;
+      const double capacity = std::min(capacity_up_to[layer], memory / each);
+      for (std::uint32_t to = layer + 1; to <= engine.layers.end; ++to) {
+        capacity_up_to[to] = std::max(capacity_up_to[to], capacity);
       }
     }
   }
-  return room_up_to[model.layers];
+  return capacity_up_to[model.layers];
 }
 
 std::vector<Accelerator> InDomain(const std::vector<Accelerator>& fleet,
                                   const std::string& domain) {
   std::vector<Accelerator> members;
-  std::copy_if(fleet.begin(), fleet.end(), std::back_inserter(members),
-               [&](const auto& one) { return one.failure_domain == domain; });
+  std::copy_if(
+      fleet.begin(), fleet.end(), std::back_inserter(members),
+      [&](const auto& engine) { return engine.failure_domain == domain; });
   return members;
 }
 
-// Guards against a rollout that leaves covers of copies, which are whole and
+// Guards against a rollout that leaves covers of copies, which are complete and
 // always full: callers were refused long after the last engine was replaced.
-BOOST_AUTO_TEST_CASE(EnginesReplacedOneByOneLeaveTheRoomOfTheCovers) {
+BOOST_AUTO_TEST_CASE(EnginesReplacedOneByOneRetainTheCapacityOfTheCovers) {
   const EngineModel model = LargeModel();
-  const double wanted = LayoutSettings().wanted_answers;
+  const double target = LayoutSettings().target_answers;
   auto fleet = Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {}));
-  for (std::size_t at = 0; at < fleet.size(); ++at) {
-    Accelerator replaced = fleet[at];
-    fleet.erase(fleet.begin() + static_cast<std::ptrdiff_t>(at));
+  for (std::size_t i = 0; i < fleet.size(); ++i) {
+    Accelerator replaced = fleet[i];
+    fleet.erase(fleet.begin() + static_cast<std::ptrdiff_t>(i));
     fleet = Placed(fleet, PlanLayout(model, fleet, {}));
     replaced.id += "-new";
     replaced.layers = {};
-    fleet.insert(fleet.begin() + static_cast<std::ptrdiff_t>(at), replaced);
+    fleet.insert(fleet.begin() + static_cast<std::ptrdiff_t>(i), replaced);
     const Layout layout = PlanLayout(model, fleet, {});
-    // Only the newcomer, and whoever took the place of the one that left, load.
-    BOOST_TEST(Moves(fleet, layout) <= 2);
+    // Only the new engine and the replacement of the removed one load.
+    BOOST_TEST(CountMoves(fleet, layout) <= 2);
     fleet = Placed(fleet, layout);
     const auto members = InDomain(fleet, replaced.failure_domain);
     BOOST_TEST_CONTEXT("after " << replaced.id) {
-      BOOST_TEST(AnswersOfRoomiestPath(model, members) >= wanted / 2);
+      BOOST_TEST(MaxAnswersOfAnyPath(model, members) >= target / 2);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(OfKindsAboutAsFastTheLargerGoesFirst) {
+// Eleven engines on every path are hit by failures more often than seven, and
+// leave fewer standbys.
+BOOST_AUTO_TEST_CASE(OfEquallyFastKindsTheLargerGoesFirst) {
   const EngineModel model = ModelOfSlowKinds();
   const auto placed =
-      Placed(OneDomain(), PlanLayout(model, OneDomain(), RoomForEighty()));
+      Placed(OneDomain(), PlanLayout(model, OneDomain(), CapacityForEighty()));
   Random random(1);
   PathQuery query;
   query.failure_domain = "a";
@@ -213,7 +217,7 @@
   BOOST_TEST(choice.path->stages.size() <= 9U);
 }
 
-// A domain that is too small for a cover gives its engines to one that spans
+// A domain that is too small for a cover contributes its engines to one over
 // several domains, rather than serving nobody.
 BOOST_AUTO_TEST_CASE(SmallDomainsServeTogether) {
   const EngineModel model = LargeModel();
--- a/unittests/placement/models.h
+++ b/unittests/placement/models.h
@@ -10,7 +10,7 @@
 
 namespace toucanwharf::placement {
 
-/// A model of 80 layers on three kinds of accelerator, as large as users run.
+/// A model of 80 layers on three kinds of accelerator, at production scale.
 inline EngineModel LargeModel() {
   EngineModel model;
   model.layers = 80;
@@ -34,9 +34,9 @@
 inline void AddEngines(std::vector<Accelerator>& fleet,
                        const std::string& domain, const std::string& kind,
                        int count) {
-  for (int at = 0; at < count; ++at) {
+  for (int i = 0; i < count; ++i) {
     fleet.push_back(
-        {domain + "-" + kind + "-" + std::to_string(at), domain, kind, {}});
+        {domain + "-" + kind + "-" + std::to_string(i), domain, kind, {}});
   }
 }
 
@@ -73,9 +73,9 @@
 /// Returns \p fleet with the layers that \p layout gives.
 inline std::vector<Accelerator> Placed(std::vector<Accelerator> fleet,
                                        const Layout& layout) {
-  for (Accelerator& one : fleet) {
-    const auto found = layout.find(one.id);
-    if (found != layout.end()) one.layers = found->second;
+  for (Accelerator& accelerator : fleet) {
+    const auto found = layout.find(accelerator.id);
+    if (found != layout.end()) accelerator.layers = found->second;
   }
   return fleet;
 }
@@ -83,13 +83,13 @@
 /// Returns \p fleet as idle engines for the path finder.
 inline std::vector<Engine> Idle(const std::vector<Accelerator>& fleet) {
   std::vector<Engine> engines;
-  for (const Accelerator& one : fleet) {
+  for (const Accelerator& accelerator : fleet) {
     Engine engine;
-    engine.id = one.id;
-    engine.address = "address-of-" + one.id;
-    engine.failure_domain = one.failure_domain;
-    engine.kind = one.kind;
-    engine.layers = one.layers;
+    engine.id = accelerator.id;
+    engine.address = "address-of-" + accelerator.id;
+    engine.failure_domain = accelerator.failure_domain;
+    engine.kind = accelerator.kind;
+    engine.layers = accelerator.layers;
     engines.push_back(std::move(engine));
   }
   return engines;
