--- a/unittests/placement/order_tracker_test.cc
+++ b/unittests/placement/order_tracker_test.cc
@@ -17,47 +17,47 @@
   return {{begin, end}, sequence, false, 1};
 }
 
-OrderTracker Wanting(std::uint32_t begin, std::uint32_t end) {
-  OrderTracker book;
-  book.SetTargetLayout({{"engine", {begin, end}}});
-  return book;
+OrderTracker TrackerWithTarget(std::uint32_t begin, std::uint32_t end) {
+  OrderTracker tracker;
+  tracker.SetTargetLayout({{"engine", {begin, end}}});
+  return tracker;
 }
 
-BOOST_AUTO_TEST_CASE(OrderNamesTheCountItIsGoodFor) {
-  OrderTracker book = Wanting(0, 26);
-  BOOST_TEST(book.NeedsReport("engine"));
-  BOOST_TEST(!book.Next("engine", At(0)).has_value());
-  book.OnReport("engine", Report(0, 0, 3), At(0));
-  const auto order = book.Next("engine", At(10));
+BOOST_AUTO_TEST_CASE(OrderStatesTheSequenceItIsValidFor) {
+  OrderTracker tracker = TrackerWithTarget(0, 26);
+  BOOST_TEST(tracker.NeedsReport("engine"));
+  BOOST_TEST(!tracker.Next("engine", At(0)).has_value());
+  tracker.OnReport("engine", Report(0, 0, 3), At(0));
+  const auto order = tracker.Next("engine", At(10));
   BOOST_REQUIRE(order.has_value());
   BOOST_CHECK(*order == (PlaceOrder{"engine", {0, 26}, 3}));
-  BOOST_TEST(!book.Next("engine", At(20)).has_value());
+  BOOST_TEST(!tracker.Next("engine", At(20)).has_value());
 }
 
-// The answer to an order is lost. Until a report that was asked for later tells
-// how many orders the engine has begun, no other order is given.
-BOOST_AUTO_TEST_CASE(UnknownOrderIsReadBackFirst) {
-  OrderTracker book = Wanting(0, 26);
-  book.OnReport("engine", Report(0, 0, 0), At(0));
-  BOOST_REQUIRE(book.Next("engine", At(10)).has_value());
-  book.OnOutcome("engine", OrderOutcome::kUnknown, At(500));
-  BOOST_TEST(!book.Next("engine", At(510)).has_value());
-  // Asked for before the order could show in a report.
-  book.OnReport("engine", Report(0, 0, 0), At(600));
-  BOOST_TEST(!book.Next("engine", At(700)).has_value());
-  book.OnReport("engine", Report(0, 0, 0), At(1000));
-  const auto again = book.Next("engine", At(1010));
+// The response to an order is lost. Until a report that was requested later
+// shows how many orders the engine has begun, no other order is sent.
+BOOST_AUTO_TEST_CASE(OrderOfUnknownOutcomeNeedsAReportFirst) {
+  OrderTracker tracker = TrackerWithTarget(0, 26);
+  tracker.OnReport("engine", Report(0, 0, 0), At(0));
+  BOOST_REQUIRE(tracker.Next("engine", At(10)).has_value());
+  tracker.OnOutcome("engine", OrderOutcome::kUnknown, At(500));
+  BOOST_TEST(!tracker.Next("engine", At(510)).has_value());
+  // Requested before the order could show in a report.
+  tracker.OnReport("engine", Report(0, 0, 0), At(600));
+  BOOST_TEST(!tracker.Next("engine", At(700)).has_value());
+  tracker.OnReport("engine", Report(0, 0, 0), At(1000));
+  const auto again = tracker.Next("engine", At(1010));
   BOOST_REQUIRE(again.has_value());
   BOOST_TEST(again->sequence == 0U);
 }
 
-/// An engine that carries orders out late, as the platform's may.
+/// An engine that carries out orders late, as engines of the platform may.
 struct LateEngine {
   pipeline::LayerRange layers;
   std::uint64_t sequence = 0;
   std::vector<PlaceOrder> late;
 
-  bool Take(const PlaceOrder& order) {
+  bool CarryOut(const PlaceOrder& order) {
     if (order.sequence != this->sequence) return false;
     this->layers = order.layers;
     ++this->sequence;
@@ -65,47 +65,46 @@
   }
 };
 
-// Orders get no answer and are carried out seconds later, after newer ones.
-// Whatever the order of events, the engine comes to hold what is wanted and
-// stays so.
+// Orders get no response and are carried out seconds later, after newer ones.
+// For any order of events, the engine finally holds the target and keeps it.
 RC_BOOST_PROP(LateOrdersDoNotUndoNewerOnes, ()) {
-  OrderTracker book;
+  OrderTracker tracker;
   LateEngine engine;
   TimePoint now = At(1000);
-  pipeline::LayerRange wanted;
+  pipeline::LayerRange target;
   for (int step = 0; step < 30; ++step) {
     now = now + milliseconds(600);
     if (*rc::gen::inRange(0, 4) == 0) {
-      wanted = {0, *rc::gen::inRange<std::uint32_t>(1, 30)};
-      book.SetTargetLayout({{"engine", wanted}});
+      target = {0, *rc::gen::inRange<std::uint32_t>(1, 30)};
+      tracker.SetTargetLayout({{"engine", target}});
     }
     if (!engine.late.empty() && *rc::gen::arbitrary<bool>()) {
-      engine.Take(engine.late.front());
+      engine.CarryOut(engine.late.front());
       engine.late.erase(engine.late.begin());
     }
-    book.OnReport("engine", {engine.layers, engine.sequence, false, 1}, now);
-    const auto order = book.Next("engine", now);
+    tracker.OnReport("engine", {engine.layers, engine.sequence, false, 1}, now);
+    const auto order = tracker.Next("engine", now);
     if (!order) continue;
     if (*rc::gen::arbitrary<bool>()) {
       engine.late.push_back(*order);
-      book.OnOutcome("engine", OrderOutcome::kUnknown, now);
+      tracker.OnOutcome("engine", OrderOutcome::kUnknown, now);
     } else {
-      book.OnOutcome("engine",
-                     engine.Take(*order) ? OrderOutcome::kAccepted
-                                         : OrderOutcome::kRefused,
-                     now);
+      tracker.OnOutcome("engine",
+                        engine.CarryOut(*order) ? OrderOutcome::kAccepted
+                                                : OrderOutcome::kRefused,
+                        now);
     }
   }
-  for (const PlaceOrder& order : engine.late) engine.Take(order);
+  for (const PlaceOrder& order : engine.late) engine.CarryOut(order);
   for (int step = 0; step < 3; ++step) {
     now = now + milliseconds(600);
-    book.OnReport("engine", {engine.layers, engine.sequence, false, 1}, now);
-    const auto order = book.Next("engine", now);
+    tracker.OnReport("engine", {engine.layers, engine.sequence, false, 1}, now);
+    const auto order = tracker.Next("engine", now);
     if (!order) continue;
-    engine.Take(*order);
-    book.OnOutcome("engine", OrderOutcome::kAccepted, now);
+    engine.CarryOut(*order);
+    tracker.OnOutcome("engine", OrderOutcome::kAccepted, now);
   }
-  RC_ASSERT(engine.layers == wanted);
+  RC_ASSERT(engine.layers == target);
 }
 
 }  // namespace
--- a/unittests/placement/path_finder_test.cc
+++ b/unittests/placement/path_finder_test.cc
@@ -15,9 +15,9 @@
 std::vector<Engine> AnyEngines() {
   std::vector<Engine> engines;
   const int count = *rc::gen::inRange(0, 30);
-  for (int at = 0; at < count; ++at) {
+  for (int i = 0; i < count; ++i) {
     Engine engine;
-    engine.id = std::to_string(at);
+    engine.id = std::to_string(i);
     engine.address = "address-" + engine.id;
     engine.failure_domain = *rc::gen::element<std::string>("a", "b", "c");
     engine.kind = *rc::gen::element<std::string>("large", "slow");
@@ -57,7 +57,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LackOfLayersAndLackOfRoomDiffer) {
+BOOST_AUTO_TEST_CASE(MissingLayersAndNoCapacityDiffer) {
   const EngineModel model = LargeModel();
   auto engines =
       Idle(Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {})));
@@ -71,8 +71,8 @@
               NoPathReason::kMissingLayers);
 }
 
-// An answer goes around a dead engine: the first stage stays as it is, and the
-// rest is a cover without the dead one.
+// An answer is rerouted around a dead engine: the first stage stays as it is,
+// and the rest is a cover without the dead one.
 BOOST_AUTO_TEST_CASE(FirstStageIsKept) {
   const EngineModel model = LargeModel();
   auto engines =
@@ -83,33 +83,34 @@
   PathQuery around = Query();
   around.current = first.path->stages;
   const std::string dead = first.path->stages[2].endpoint;
-  std::erase_if(engines, [&](const auto& one) { return one.id == dead; });
+  std::erase_if(engines, [&](const auto& engine) { return engine.id == dead; });
   const auto second = FindPath(model, engines, around, {}, random);
   BOOST_REQUIRE(second.path.has_value());
   BOOST_CHECK(second.path->stages.front() == around.current.front());
   BOOST_TEST(pipeline::IsExactCover(RangesOf(*second.path), model.layers));
 }
 
-/// Plays answers that come at a steady rate to several routers, which hear of
-/// each other's answers only from time to time, and returns the most answers
-/// that any engine had under way, against the mean of those in use.
-double PlayHerd(double jitter, int lag) {
+/// Simulates answers that arrive at a steady rate at several routers, which
+/// learn of each other's answers only after \p lag of them. Returns the maximum
+/// number of answers in flight on any engine, relative to the mean of the
+/// engines in use.
+double MaxLoadOverMean(double jitter, int lag) {
   const EngineModel model = LargeModel();
   auto engines =
       Idle(Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {})));
   constexpr int kRouters = 6;
   constexpr int kAnswers = 240;
   std::map<std::string, std::size_t> index;
-  for (std::size_t at = 0; at < engines.size(); ++at) {
-    index[engines[at].id] = at;
+  for (std::size_t i = 0; i < engines.size(); ++i) {
+    index[engines[i].id] = i;
   }
   std::vector<std::vector<Engine>> views(kRouters, engines);
   PathSettings settings;
   settings.jitter = jitter;
   Random random(3);
-  for (int at = 0; at < kAnswers; ++at) {
-    if (at % lag == 0) views.assign(kRouters, engines);
-    auto& view = views[at % kRouters];
+  for (int i = 0; i < kAnswers; ++i) {
+    if (i % lag == 0) views.assign(kRouters, engines);
+    auto& view = views[i % kRouters];
     const auto choice = FindPath(model, view, Query(), settings, random);
     if (!choice.path) continue;
     for (const pipeline::Stage& stage : choice.path->stages) {
@@ -120,34 +121,34 @@
       }
     }
   }
-  double most = 0;
-  double sum = 0;
-  double used = 0;
+  double max_answers = 0;
+  double total_answers = 0;
+  double engines_in_use = 0;
   for (const Engine& engine : engines) {
     if (engine.answers == 0) continue;
-    most = std::max(most, engine.answers);
-    sum += engine.answers;
-    used += 1;
+    max_answers = std::max(max_answers, engine.answers);
+    total_answers += engine.answers;
+    engines_in_use += 1;
   }
-  return most / (sum / used);
+  return max_answers / (total_answers / engines_in_use);
 }
 
 // Six routers choose from the same lagging loads. No engine gets more than
-// twice its part of the answers, and none more than it has room for.
-BOOST_AUTO_TEST_CASE(LaggingLoadsDoNotMakeAHerd) {
-  BOOST_TEST(PlayHerd(0.1, 60) < 2.0);
-  BOOST_TEST(PlayHerd(0.1, 6) < 2.0);
+// twice its part of the answers, and none more than its capacity.
+BOOST_AUTO_TEST_CASE(LaggingLoadsDoNotCauseHerding) {
+  BOOST_TEST(MaxLoadOverMean(0.1, 60) < 2.0);
+  BOOST_TEST(MaxLoadOverMean(0.1, 6) < 2.0);
 }
 
 /// Lets routers that all see the same loads choose paths for \p answers, and
-/// returns the part of its room that the fullest engine is then given.
-double FullestAfter(int answers, const PathSettings& settings) {
+/// returns the fraction of its capacity that the fullest engine is then given.
+double MaxUtilizationAfter(int answers, const PathSettings& settings) {
   const EngineModel model = LargeModel();
   const auto view =
       Idle(Placed(GrownFleet(), PlanLayout(model, GrownFleet(), {})));
   Random random(5);
   std::map<std::string, double> given;
-  for (int at = 0; at < answers; ++at) {
+  for (int i = 0; i < answers; ++i) {
     const auto choice = FindPath(model, view, Query(), settings, random);
     BOOST_REQUIRE(choice.path.has_value());
     for (const pipeline::Stage& stage : choice.path->stages) {
@@ -156,42 +157,43 @@
   }
   double fullest = 0;
   for (const Engine& engine : view) {
-    const double room = TokenLayerCapacity(model, *model.FindKind(engine.kind),
-                                           engine.layers.Count());
-    if (room > 0) fullest = std::max(fullest, given[engine.id] / room);
+    const double capacity = TokenLayerCapacity(
+        model, *model.FindKind(engine.kind), engine.layers.Count());
+    if (capacity > 0) fullest = std::max(fullest, given[engine.id] / capacity);
   }
   return fullest;
 }
 
-// Callers of a large fleet were refused by engines without memory though most
-// engines were idle: 86 routers saw the loads of 0.75 s ago, in which time 200
-// answers begin, and all of them took the path that looked best. Before and
-// after, the fullest engine's part of its room: 0.79 and 0.68.
-BOOST_AUTO_TEST_CASE(RoutersWithTheSameOldViewSpreadOverPaths) {
+// Guards against routers of a large fleet that all take the best path: 86
+// routers saw the loads of 0.75 s ago, in which time 200 answers begin, and
+// callers were refused by engines without memory though most engines were idle.
+// The fullest engine's fraction of its capacity with the best of all paths and
+// with two choices: 0.79 and 0.68.
+BOOST_AUTO_TEST_CASE(RoutersWithTheSameLaggingViewSpreadOverPaths) {
   PathSettings best_of_all;
   PathSettings two_choices;
   two_choices.entry_choices = kEntryChoicesInLargeFleet;
   constexpr int kBegunUnseen = 200;
-  const double all = FullestAfter(kBegunUnseen, best_of_all);
-  const double two = FullestAfter(kBegunUnseen, two_choices);
+  const double all = MaxUtilizationAfter(kBegunUnseen, best_of_all);
+  const double two = MaxUtilizationAfter(kBegunUnseen, two_choices);
   BOOST_TEST(two < 0.9 * all);
 }
 
-// An engine dies, and the fifty answers of its path go on elsewhere at the same
-// moment, from routers that haven't heard of each other's choices. On one path
-// the last of them would wait until the others' prompts are read.
+// An engine dies, and the fifty answers of its path resume on other paths at
+// the same moment, from routers that don't know of each other's choices. On one
+// path the last of them would wait until the others' prompts are read.
 BOOST_AUTO_TEST_CASE(AnswersThatLostAnEngineShareTheOtherPaths) {
   const EngineModel model = LargeModel();
   auto engines =
       Idle(Placed(LargeFleet(), PlanLayout(model, LargeFleet(), {})));
-  std::erase_if(engines,
-                [](const auto& one) { return one.failure_domain == "a"; });
+  std::erase_if(
+      engines, [](const auto& engine) { return engine.failure_domain == "a"; });
   PathSettings settings;
   settings.entry_choices = kEntryChoicesForResumed;
   Random random(5);
   constexpr int kAnswers = 50;
   std::map<std::string, int> by_domain;
-  for (int at = 0; at < kAnswers; ++at) {
+  for (int i = 0; i < kAnswers; ++i) {
     const auto choice = FindPath(model, engines, Query(), settings, random);
     BOOST_REQUIRE(choice.path.has_value());
     const std::string& first = choice.path->stages.front().endpoint;
@@ -201,9 +203,10 @@
   BOOST_TEST(by_domain["c"] > kAnswers / 5);
 }
 
-// An answer goes around a dead engine through engines that are nearly full. Its
-// own share of them is free for it, and stages that stay have nothing to read.
-BOOST_AUTO_TEST_CASE(AnswerKeepsItsOwnRoomOnTheWayAround) {
+// An answer is rerouted around a dead engine through engines that are nearly
+// full. Its own share of them is free for it, and stages that stay have nothing
+// to read.
+BOOST_AUTO_TEST_CASE(ReroutedAnswerRetainsItsCapacity) {
   const EngineModel model = LargeModel();
   std::vector<Accelerator> fleet;
   AddEngines(fleet, "a", "large", 3);
@@ -232,17 +235,18 @@
   std::vector<Accelerator> fleet;
   AddEngines(fleet, "a", "large", 2);
   AddEngines(fleet, "b", "large", 2);
-  for (std::size_t at = 0; at < fleet.size(); ++at) {
-    fleet[at].layers = at % 2 == 0 ? pipeline::LayerRange{0, 40}
-                                   : pipeline::LayerRange{40, 80};
+  for (std::size_t i = 0; i < fleet.size(); ++i) {
+    fleet[i].layers =
+        i % 2 == 0 ? pipeline::LayerRange{0, 40} : pipeline::LayerRange{40, 80};
   }
   return Idle(fleet);
 }
 
-// In a burst every answer of the fleet stood still: no domain had room on all
-// layers, so answers went along halves of two domains, and their prompts filled
-// the link that all domains share. Waiting for room serves more.
-BOOST_AUTO_TEST_CASE(FullDomainsDoNotSpillOverTheirLink) {
+// Guards against a burst that stalls every answer of the fleet: no domain had
+// capacity on all layers, so answers ran along halves of two domains, and their
+// prompts saturated the link that all domains share. Waiting for capacity
+// serves more.
+BOOST_AUTO_TEST_CASE(FullDomainsDoNotOverflowAcrossTheLink) {
   const EngineModel model = LargeModel();
   auto engines = TwoHalvesInTwoDomains();
   engines[1].token_layers = 1e9;
--- a/unittests/routes/freshness_test.cc
+++ b/unittests/routes/freshness_test.cc
@@ -9,9 +9,10 @@
 
 TimePoint At(int millis) { return TimePoint{milliseconds(millis)}; }
 
-// A key is taken away while an instance cannot read. It must stop admitting
-// keys before the bound is over, counted from the beginning of its last read.
-BOOST_AUTO_TEST_CASE(ProofLapsesBeforeTheBound) {
+// A key is revoked while an instance can't read the store. It must stop
+// admitting keys before the bound is over, counted from the beginning of its
+// last read.
+BOOST_AUTO_TEST_CASE(ConfirmationExpiresBeforeTheBound) {
   Freshness freshness(milliseconds(5000), milliseconds(100));
   BOOST_TEST(!freshness.Holds(At(0)));
   freshness.Confirm(At(1000));
@@ -19,8 +20,9 @@
   BOOST_TEST(!freshness.Holds(At(5900)));
 }
 
-// Answers come out of order; an older proof must not replace a newer one.
-BOOST_AUTO_TEST_CASE(OlderProofChangesNothing) {
+// Responses arrive out of order; an older confirmation must not replace a newer
+// one.
+BOOST_AUTO_TEST_CASE(OlderConfirmationChangesNothing) {
   Freshness freshness(milliseconds(5000), milliseconds(100));
   freshness.Confirm(At(3000));
   freshness.Confirm(At(1000));
--- a/unittests/routing/advice_test.cc
+++ b/unittests/routing/advice_test.cc
@@ -16,10 +16,10 @@
 
 std::vector<EntryInstance> SixInstances() {
   std::vector<EntryInstance> instances;
-  for (int at = 0; at < 6; ++at) {
-    const std::string number = std::to_string(at);
+  for (int i = 0; i < 6; ++i) {
+    const std::string number = std::to_string(i);
     instances.push_back(EntryInstance{"r" + number, "10.0.0." + number,
-                                      "domain-" + std::to_string(at / 2), false,
+                                      "domain-" + std::to_string(i / 2), false,
                                       0});
   }
   return instances;
@@ -55,7 +55,7 @@
 }
 
 // One customer sends half of all traffic. Hashed to one instance like a small
-// one it would fill that instance while five idle.
+// one, it would fill that instance while five idle.
 BOOST_AUTO_TEST_CASE(LargeCustomerIsSpreadOverAll) {
   const EntryAdvisor advisor;
   Random random(2);
@@ -69,18 +69,19 @@
   for (const auto& [address, count] : first) BOOST_TEST(count > 60);
 }
 
-// An instance is stopped on purpose. Callers that hold advice from just before
-// connect to it for half a minute; had it closed its listener at once, each of
-// them would have been refused.
-BOOST_AUTO_TEST_CASE(LeavingInstanceServesOutAllAdvice) {
+// An instance is stopped on purpose. Callers with advice from just before
+// connect to it for half a minute; if it closed its listener immediately, each
+// of them would be refused.
+BOOST_AUTO_TEST_CASE(LeavingInstanceServesUntilAllAdviceExpires) {
   const EntryAdvisor advisor;
   Random random(3);
   std::vector<EntryInstance> instances = SixInstances();
   const TimePoint announced{seconds(100)};
-  const TimePoint heard = announced + seconds(3);
+  const TimePoint received = announced + seconds(3);
   for (int caller = 0; caller < 1000; ++caller) {
     const Advice advice = advisor.For("c", 0.5, instances, random);
-    BOOST_TEST((heard + advice.time_to_live <= advisor.ServeUntil(announced)));
+    BOOST_TEST(
+        (received + advice.time_to_live <= advisor.ServeUntil(announced)));
   }
   instances[4].leaving = true;
   const Advice after = advisor.For("c", 0.5, instances, random);
@@ -119,19 +120,21 @@
 
 BOOST_AUTO_TEST_CASE(LongestCachedPrefixIsFound) {
   PrefixIndex index;
-  const std::uint64_t brief = HashPrefix("master formula");
-  const std::uint64_t full = HashPrefix("master formula, lot 7");
-  index.Apply(Endpoint{0}, {1, CacheEvent::Kind::kStored, brief, 100});
-  index.Apply(Endpoint{1}, {1, CacheEvent::Kind::kStored, full, 180});
-  const std::vector<std::uint64_t> prompt{full, brief};
-  BOOST_TEST((index.Find(prompt, kAnyEndpoint) == CachedAt{Endpoint{1}, 180}));
-  index.Apply(Endpoint{1}, {2, CacheEvent::Kind::kEvicted, full, 180});
-  BOOST_TEST((index.Find(prompt, kAnyEndpoint) == CachedAt{Endpoint{0}, 100}));
+  const std::uint64_t short_prefix = HashPrefix("master formula");
+  const std::uint64_t long_prefix = HashPrefix("master formula, lot 7");
+  index.Apply(Endpoint{0}, {1, CacheEvent::Kind::kStored, short_prefix, 100});
+  index.Apply(Endpoint{1}, {1, CacheEvent::Kind::kStored, long_prefix, 180});
+  const std::vector<std::uint64_t> prompt{long_prefix, short_prefix};
+  BOOST_TEST(
+      (index.Find(prompt, kAnyEndpoint) == CachedPrefix{Endpoint{1}, 180}));
+  index.Apply(Endpoint{1}, {2, CacheEvent::Kind::kEvicted, long_prefix, 180});
+  BOOST_TEST(
+      (index.Find(prompt, kAnyEndpoint) == CachedPrefix{Endpoint{0}, 100}));
 }
 
-// Event 2, an eviction, is lost. The index still believes in the entry; taken
-// at its full worth, requests would be sent far for a cache that isn't there.
-BOOST_AUTO_TEST_CASE(EntriesFromBeforeAGapAreWorthLess) {
+// Event 2, an eviction, is lost, and the index still has the entry; at its full
+// length, requests would be sent far for a cache that isn't there.
+BOOST_AUTO_TEST_CASE(EntriesFromBeforeAGapCountHalf) {
   PrefixIndex index;
   const std::vector<std::uint64_t> prompt{HashPrefix("a")};
   index.Apply(Endpoint{0}, {1, CacheEvent::Kind::kStored, prompt[0], 100});
@@ -143,12 +146,12 @@
 
 BOOST_AUTO_TEST_CASE(IndexIsBounded) {
   PrefixIndex index(8);
-  for (std::uint64_t at = 1; at <= 1000; ++at) {
-    index.Apply(Endpoint{0}, {at, CacheEvent::Kind::kStored, at, 10});
+  for (std::uint64_t i = 1; i <= 1000; ++i) {
+    index.Apply(Endpoint{0}, {i, CacheEvent::Kind::kStored, i, 10});
   }
   int found = 0;
-  for (std::uint64_t at = 1; at <= 1000; ++at) {
-    const std::vector<std::uint64_t> prompt{at};
+  for (std::uint64_t i = 1; i <= 1000; ++i) {
+    const std::vector<std::uint64_t> prompt{i};
     if (index.Find(prompt, kAnyEndpoint)) ++found;
   }
   BOOST_TEST(found == 8);
--- a/unittests/routing/ejection_test.cc
+++ b/unittests/routing/ejection_test.cc
@@ -15,15 +15,15 @@
 
 Ejection MakePool(const EjectionSettings& settings = {}) {
   Ejection ejection(settings);
-  for (std::uint32_t at = 0; at < kEndpoints; ++at) {
-    ejection.Add(TimePoint{}, Endpoint{at}, false);
+  for (std::uint32_t i = 0; i < kEndpoints; ++i) {
+    ejection.Add(TimePoint{}, Endpoint{i}, false);
   }
   return ejection;
 }
 
-/// Sends requests at random to what is usable for ten seconds; `broken` fails
-/// at once. Returns the failures that callers saw.
-int FailuresSeen(Ejection ejection, Endpoint broken) {
+/// Sends requests at random to usable endpoints for ten seconds; `broken` fails
+/// immediately. Returns the failures that callers saw.
+int CallerFailures(Ejection ejection, Endpoint broken) {
   Random random(9);
   int failures = 0;
   for (int request = 0; request < 1000; ++request) {
@@ -40,59 +40,60 @@
   return failures;
 }
 
-// One endpoint answers each request with an error at once. Callers see one
+// One endpoint answers each request with an error immediately. Callers see one
 // request in nine fail for as long as it is in the pool.
 BOOST_AUTO_TEST_CASE(BrokenEndpointCostsAFewRequests) {
   EjectionSettings never;
-  never.failures_in_a_row = 1000000;
-  BOOST_TEST(FailuresSeen(MakePool(never), Endpoint{4}) > 90);
-  BOOST_TEST(FailuresSeen(MakePool(), Endpoint{4}) <= 10);
+  never.consecutive_failures = 1000000;
+  BOOST_TEST(CallerFailures(MakePool(never), Endpoint{4}) > 90);
+  BOOST_TEST(CallerFailures(MakePool(), Endpoint{4}) <= 10);
 }
 
-/// A router whose own link is down for two seconds: every request fails.
-/// Returns the endpoints that are usable right after the link is back.
-std::size_t UsableAfterOwnFault(Ejection ejection) {
+/// Simulates a router whose own link is down for two seconds, so that every
+/// request fails. Returns the number of usable endpoints right after the link
+/// is back.
+std::size_t UsableAfterLocalFault(Ejection ejection) {
   TimePoint now;
   for (int round = 0; round < 20; ++round) {
     now = now + milliseconds(100);
-    for (std::uint32_t at = 0; at < kEndpoints; ++at) {
-      ejection.Failed(now, Endpoint{at});
+    for (std::uint32_t i = 0; i < kEndpoints; ++i) {
+      ejection.Failed(now, Endpoint{i});
     }
   }
   return kEndpoints - ejection.EjectedCount(now);
 }
 
-// The router's own link breaks for two seconds. Each endpoint seems to fail
+// The router's own link is down for two seconds. Each endpoint seems to fail
 // from here; with plain ejection the pool is empty when the link is back, and
-// callers are refused though every endpoint is well.
-BOOST_AUTO_TEST_CASE(OwnBadLinkDoesNotEmptyThePool) {
+// callers are refused though every endpoint is healthy.
+BOOST_AUTO_TEST_CASE(LocalLinkFaultDoesNotEmptyThePool) {
   EjectionSettings naive;
   naive.max_share = 1.0;
-  naive.self_share = 2.0;
-  BOOST_TEST(UsableAfterOwnFault(MakePool(naive)) == 0u);
-  BOOST_TEST(UsableAfterOwnFault(MakePool()) == kEndpoints);
+  naive.local_fault_share = 2.0;
+  BOOST_TEST(UsableAfterLocalFault(MakePool(naive)) == 0u);
+  BOOST_TEST(UsableAfterLocalFault(MakePool()) == kEndpoints);
 }
 
-// Four of nine endpoints fail, one after the other, too few to suspect the own
-// link. Were all four ejected, the five others would get nearly twice their
+// Four of nine endpoints fail one after the other, too few to suspect the local
+// link. If all four were ejected, the other five would get nearly twice their
 // load.
-BOOST_AUTO_TEST_CASE(NoMoreThanTheCapIsOut) {
+BOOST_AUTO_TEST_CASE(NoMoreThanTheCapIsEjected) {
   Ejection ejection = MakePool();
   TimePoint now;
-  for (std::uint32_t at = 0; at < kEndpoints; ++at) {
-    ejection.Succeeded(now, Endpoint{at});
+  for (std::uint32_t i = 0; i < kEndpoints; ++i) {
+    ejection.Succeeded(now, Endpoint{i});
   }
   for (int round = 0; round < 10; ++round) {
     now = now + milliseconds(100);
-    for (std::uint32_t at = 0; at < 4; ++at) {
-      ejection.Failed(now, Endpoint{at});
+    for (std::uint32_t i = 0; i < 4; ++i) {
+      ejection.Failed(now, Endpoint{i});
     }
   }
-  BOOST_TEST(!ejection.SuspectsSelf(now));
+  BOOST_TEST(!ejection.SuspectsLocalFault(now));
   BOOST_TEST(ejection.EjectedCount(now) == 3u);
 }
 
-// An endpoint restarts and has cold caches. With its full share at once its
+// An endpoint restarts and has cold caches. With its full share immediately its
 // first answers are late and it is ejected again.
 BOOST_AUTO_TEST_CASE(NewEndpointStartsSlowly) {
   Ejection ejection = MakePool();
@@ -104,8 +105,8 @@
   BOOST_TEST(ejection.Ramp(joined, Endpoint{0}) == 1.0);
 }
 
-// An endpoint answers a few requests and fails again, over and over. If one
-// success forgot its past, it would be back every five seconds for ever.
+// An endpoint repeatedly answers a few requests and fails again. If one success
+// reset its ejection count, it would be back every five seconds.
 BOOST_AUTO_TEST_CASE(FlappingEndpointStaysOutLonger) {
   Ejection ejection = MakePool();
   TimePoint now;
@@ -115,15 +116,15 @@
     for (int failure = 0; failure < 5; ++failure) {
       ejection.Failed(now, Endpoint{0});
     }
-    const TimePoint out = now;
+    const TimePoint ejected_at = now;
     while (!ejection.Usable(now, Endpoint{0})) now = now + milliseconds(100);
-    BOOST_TEST((now - out).count() > last.count());
-    last = now - out;
+    BOOST_TEST((now - ejected_at).count() > last.count());
+    last = now - ejected_at;
   }
   BOOST_TEST(last.count() >= Duration(seconds(40)).count());
 }
 
-BOOST_AUTO_TEST_CASE(LastOfAPoolIsNeverOut) {
+BOOST_AUTO_TEST_CASE(LastEndpointOfAPoolIsNeverEjected) {
   Ejection ejection;
   ejection.Add(TimePoint{}, Endpoint{0}, false);
   for (int failure = 0; failure < 50; ++failure) {
