--- a/include/toucanwharf/admission/admission_controller.h
+++ b/include/toucanwharf/admission/admission_controller.h
@@ -186,8 +186,8 @@
   /// that resumes elsewhere. It gets no more work until its next report.
   void EndpointFull(routing::Endpoint endpoint);
 
-  /// Records that request \p id, which was dispatched, continues on \p
-  /// endpoints after a stage was replaced.
+  /// Records that request \p id, which was dispatched, continues on
+  /// \p endpoints after a stage was replaced.
   void Rerouted(TimePoint now, const std::string& id,
                 const std::vector<routing::Endpoint>& endpoints);
 
--- a/include/toucanwharf/attempts/arrival_budget.h
+++ b/include/toucanwharf/attempts/arrival_budget.h
@@ -78,7 +78,7 @@
   bool TakeExtra(const std::string& service, TimePoint now);
 
  private:
-  /// Counts in one slice of the window.
+  /// Counts in one slice of the window; the oldest slice is first.
   struct Slice {
     TimePoint start;
     std::uint64_t requests = 0;
--- a/include/toucanwharf/attempts/attempt_policy.h
+++ b/include/toucanwharf/attempts/attempt_policy.h
@@ -12,8 +12,8 @@
   kNotSent,
   /// The endpoint reported that it did not run the request.
   kNotRun,
-  /// Sent without a conclusive response: the connection broke, timed out, or
-  /// returned bytes that are no answer to this request.
+  /// Sent, without a conclusive response: the connection broke, the attempt
+  /// timed out, or the bytes received are no answer to this request.
   kUnknown,
   /// The endpoint ran it and reported a failure.
   kFailed,
@@ -51,10 +51,10 @@
 /// won't change.
 inline constexpr int kMaxNotRunAttempts = 3;
 
-/// Returns the step after an attempt that ended with \p outcome, the last of \p
-/// counts. \p budget_left is whether another arrival may be caused. A request
-/// that isn't idempotent and may have run is never sent again (I4), and is
-/// never called "not run" (I3).
+/// Returns the step after an attempt that ended with \p outcome, the last of
+/// \p counts. \p budget_left is whether another arrival may be caused. A
+/// request that isn't idempotent and may have run is never sent again (I4), and
+/// is never called "not run" (I3).
 /// Thread safety: safe.
 NextStep NextStepAfter(const routes::Route& route, const AttemptCounts& counts,
                        AttemptOutcome outcome, bool budget_left);
--- a/include/toucanwharf/attempts/probe_backoff.h
+++ b/include/toucanwharf/attempts/probe_backoff.h
@@ -34,7 +34,7 @@
   explicit ProbeBackoff(const ProbeBackoffSettings& chosen = {})
       : settings(chosen) {}
 
-  /// Records that an answer resumed by itself after its engines were probed.
+  /// Records that an answer continued by itself after its engines were probed.
   void OnFalseAlarm(TimePoint now);
   /// Returns the factor for the stall timeout, 1 or more.
   double Factor(TimePoint now) const;
--- a/include/toucanwharf/attempts/stall_detector.h
+++ b/include/toucanwharf/attempts/stall_detector.h
@@ -46,10 +46,10 @@
   void OnEvent(TimePoint now);
   /// Starts over at another endpoint, as earlier gaps say nothing about it.
   void Restart();
-  /// Returns the stall after which the engines are probed.
+  /// Returns the duration of a stall after which the engines are probed.
   Duration StallTimeout() const;
-  /// Returns the stall after which an answer is rerouted around an engine that
-  /// other evidence marks as dead.
+  /// Returns the duration of a stall after which an answer is rerouted around
+  /// an engine that other evidence marks as dead.
   Duration SuspectedStallTimeout() const;
   /// Returns the longest gap so far between two events.
   Duration LongestPause() const { return this->longest_pause; }
--- a/include/toucanwharf/placement/layout.h
+++ b/include/toucanwharf/placement/layout.h
@@ -64,8 +64,8 @@
                   const std::vector<Accelerator>& fleet,
                   const LayoutSettings& settings);
 
-/// Returns how many layers an engine of \p kind can hold with capacity for \p
-/// answers of mean length; at most those of the model.
+/// Returns how many layers an engine of \p kind can hold with capacity for
+/// \p answers of mean length; at most those of the model.
 /// Thread safety: safe.
 std::uint32_t LayersFor(const EngineModel& model, const AcceleratorKind& kind,
                         double answers);
--- a/include/toucanwharf/placement/order_tracker.h
+++ b/include/toucanwharf/placement/order_tracker.h
@@ -28,8 +28,8 @@
   friend bool operator==(const EngineReport&, const EngineReport&) = default;
 };
 
-/// An order to hold exactly \p layers, valid only while the engine has begun \p
-/// sequence orders.
+/// An order to hold exactly \p layers, valid only while the engine has begun
+/// \p sequence orders.
 struct PlaceOrder {
   std::string engine;
   pipeline::LayerRange layers;
--- a/include/toucanwharf/placement/path_finder.h
+++ b/include/toucanwharf/placement/path_finder.h
@@ -133,9 +133,10 @@
 /// covers of all domains: if answers then ran along parts of two domains, each
 /// prompt would send 19 MB over the link that all share; some 40 prompts a
 /// second saturate it, every answer on it stalls and retains its capacity, and
-/// less is served than before the burst. A path is a shortest path through a
-/// graph whose nodes are layer boundaries in a failure domain and whose edges
-/// are parts of engines; it takes some hundred steps for forty engines.
+/// less is served than before the burst.
+/// A path is a shortest path through a graph whose nodes are layer boundaries
+/// in a failure domain and whose edges are parts of engines; it takes some
+/// hundred steps for forty engines.
 /// Thread safety: safe with a generator of the caller's own.
 PathChoice FindPath(const EngineModel& model,
                     const std::vector<Engine>& engines, const PathQuery& query,
--- a/include/toucanwharf/routing/load_view.h
+++ b/include/toucanwharf/routing/load_view.h
@@ -123,7 +123,7 @@
  private:
   /// Change of load by this router that the last report may not include.
   struct Change {
-    TimePoint at;
+    TimePoint time;
     int requests = 0;
     double tokens = 0;
     double kv_tokens = 0;
--- a/lib/admission/drain_meter.cc
+++ b/lib/admission/drain_meter.cc
@@ -10,7 +10,7 @@
 /// lost.
 constexpr Duration kSamplePeriod = std::chrono::milliseconds(250);
 /// Time constant of the decay of older samples. A sample weighs by its length,
-/// so that a stall of seconds counts fully at its end. Two seconds hold several
+/// so that a stall of seconds shows at its end. Two seconds hold several
 /// generations of the slots; at 0.7 s, requests that end in step made the rate
 /// oscillate, and an eighth of the admitted requests expired in the queue
 /// (admission_controller_test.cc).
--- a/lib/placement/layout.cc
+++ b/lib/placement/layout.cc
@@ -61,8 +61,8 @@
               });
   }
 
-  /// Returns the time that an answer of mean length spends per layer on \p
-  /// kind, including the hop to the next engine.
+  /// Returns the time that an answer of mean length spends per layer on
+  /// \p kind, including the hop to the next engine.
   double MillisPerLayer(const AcceleratorKind& kind) const {
     const double layers = this->model.layers;
     const std::uint32_t each =
@@ -311,8 +311,8 @@
   }
 
   /// Fills the gaps of an incomplete cover with free engines, if most of it
-  /// remains, so that a few loads restore it. Its remaining engines meet \p
-  /// predicate. Returns whether it was restored.
+  /// remains, so that a few loads restore it. Its remaining engines meet
+  /// \p predicate. Returns whether it was restored.
   bool RepairCover(Group& members, Predicate predicate) {
     const auto [chain, held] = this->LongestChain(members, predicate);
     if (2 * held < this->model.layers) return false;
@@ -400,8 +400,8 @@
   /// Returns how many engines of \p each layers hold those from \p next_layer
   /// on.
   std::uint32_t Needed(std::uint32_t next_layer, std::uint32_t each) const {
-    const std::uint32_t left = this->model.layers - next_layer;
-    return each == 0 ? 0 : (left + each - 1) / each;
+    const std::uint32_t remaining = this->model.layers - next_layer;
+    return each == 0 ? 0 : (remaining + each - 1) / each;
   }
 
   /// Assigns even parts of the layers from \p next_layer on to \p count engines
@@ -432,9 +432,9 @@
 bool Apply(const Layout& layout, std::vector<Accelerator>& fleet) {
   bool moved = false;
   for (Accelerator& engine : fleet) {
-    const auto wanted = layout.find(engine.id);
-    if (wanted == layout.end() || wanted->second == engine.layers) continue;
-    engine.layers = wanted->second;
+    const auto target = layout.find(engine.id);
+    if (target == layout.end() || target->second == engine.layers) continue;
+    engine.layers = target->second;
     moved = true;
   }
   return moved;
--- a/lib/routing/load_view.cc
+++ b/lib/routing/load_view.cc
@@ -41,7 +41,7 @@
   entry.report = report;
   entry.reported = true;
   while (!entry.unreported.empty() &&
-         entry.unreported.front().at <= report.as_of) {
+         entry.unreported.front().time <= report.as_of) {
     const Change& seen = entry.unreported.front();
     entry.unreported_requests -= seen.requests;
     entry.unreported_tokens -= seen.tokens;
--- a/unittests/admission/admission_controller_test.cc
+++ b/unittests/admission/admission_controller_test.cc
@@ -155,7 +155,8 @@
   BOOST_TEST(simulation.answers.refused_on_offer > 0);
   Simulation again(kEndpoints);
   again.Run(kCapacity * 10, seconds(1));
-  // Run() served all queued requests, the last one before `told` was over.
+  // Run() served all queued requests, the last one before `retry_after` was
+  // over.
   BOOST_TEST((again.now - TimePoint{seconds(1)}).count() <=
              retry_after.count() + 1000000);
 }
--- a/unittests/admission/queue_test.cc
+++ b/unittests/admission/queue_test.cc
@@ -59,15 +59,15 @@
 template <typename Queue>
 class Simulation {
  public:
-  void Arrive(TimePoint at, const std::string& customer, double cost,
+  void Arrive(TimePoint arrival, const std::string& customer, double cost,
               Duration time_limit = seconds(60)) {
     Ticket ticket;
     ticket.id = std::to_string(this->count++);
     ticket.customer = this->queue.NumberOf(customer);
     ticket.cost = cost;
-    ticket.arrived = at;
-    ticket.deadline = at + time_limit;
-    this->queue.Push(at, ticket);
+    ticket.arrived = arrival;
+    ticket.deadline = arrival + time_limit;
+    this->queue.Push(arrival, ticket);
   }
 
   /// Serves all; returns the maximum wait of `customer` by cost.
@@ -169,11 +169,11 @@
 BOOST_AUTO_TEST_CASE(ExpectedWaitFollowsTheDrainRate) {
   FairQueue queue;
   TimePoint now;
-  for (int at = 0; at < 100; ++at) {
-    queue.Push(now, MakeTicket(queue, std::to_string(at), now));
+  for (int i = 0; i < 100; ++i) {
+    queue.Push(now, MakeTicket(queue, std::to_string(i), now));
   }
   // The queue drains at 1,000 tokens per second.
-  for (int at = 0; at < 50; ++at) {
+  for (int i = 0; i < 50; ++i) {
     now = now + milliseconds(100);
     queue.Take(now, queue.Front()->id);
   }
--- a/unittests/admission/shares_test.cc
+++ b/unittests/admission/shares_test.cc
@@ -30,25 +30,25 @@
   const auto weights =
       *rc::gen::container<std::vector<int>>(5, rc::gen::inRange(1, 10));
   Shares shares;
-  double all = 0;
-  for (std::size_t at = 0; at < weights.size(); ++at) {
-    const CustomerNumber customer = shares.NumberOf(std::to_string(at));
-    shares.SetWeight(customer, weights[at]);
+  double total = 0;
+  for (std::size_t i = 0; i < weights.size(); ++i) {
+    const CustomerNumber customer = shares.NumberOf(std::to_string(i));
+    shares.SetWeight(customer, weights[i]);
     shares.Activate(customer);
-    all += weights[at];
+    total += weights[i];
   }
   const auto served = Serve(shares, 2000, 10);
-  for (std::size_t at = 0; at < weights.size(); ++at) {
-    const double share = served.at(static_cast<CustomerNumber>(at)) / 20000;
-    RC_ASSERT(share > weights[at] / all - 0.02);
-    RC_ASSERT(share < weights[at] / all + 0.02);
+  for (std::size_t i = 0; i < weights.size(); ++i) {
+    const double share = served.at(static_cast<CustomerNumber>(i)) / 20000;
+    RC_ASSERT(share > weights[i] / total - 0.02);
+    RC_ASSERT(share < weights[i] / total + 0.02);
   }
 }
 
 BOOST_AUTO_TEST_CASE(FourHundredEightyCustomersGetEqualShares) {
   Shares shares;
-  for (int at = 0; at < 480; ++at) {
-    shares.Activate(shares.NumberOf("customer-" + std::to_string(at)));
+  for (int i = 0; i < 480; ++i) {
+    shares.Activate(shares.NumberOf("customer-" + std::to_string(i)));
   }
   for (const auto& [customer, tokens] : Serve(shares, 4800, 10)) {
     BOOST_TEST(tokens >= 90.0);
@@ -76,7 +76,7 @@
 double FractionOfSmall(bool gossip, bool partitioned_later) {
   std::vector<Shares> shares(2);
   double small_tokens = 0;
-  double all = 0;
+  double total = 0;
   TimePoint now;
   for (Shares& each : shares) each.Activate(each.NumberOf("large"));
   shares[0].Activate(shares[0].NumberOf("small"));
@@ -85,7 +85,7 @@
     for (Shares& each : shares) {
       const CustomerNumber next = each.Turns().begin()->second;
       each.Charge(next, 100);
-      all += 100;
+      total += 100;
       if (each.NameOf(next) == "small") small_tokens += 100;
     }
     const bool connected = gossip && !(partitioned_later && round >= 100);
@@ -95,7 +95,7 @@
     }
     for (Shares& each : shares) each.Tick(now);
   }
-  return small_tokens / all;
+  return small_tokens / total;
 }
 
 // A large customer sends to both instances, a small one to one of them. With
@@ -144,8 +144,8 @@
   TimePoint now;
   for (int round = 0; round < 40; ++round) {
     now = now + milliseconds(500);
-    for (int at = 0; at < 4; ++at) {
-      small.Charge(small.NumberOf(std::to_string(at)), 100);
+    for (int i = 0; i < 4; ++i) {
+      small.Charge(small.NumberOf(std::to_string(i)), 100);
     }
     large.Charge(large.NumberOf("large"), 1000);
     small.MergePeerUsage(now, "l", large.Served());
--- a/unittests/attempts/arrival_budget_test.cc
+++ b/unittests/attempts/arrival_budget_test.cc
@@ -38,7 +38,7 @@
 /// Returns the times of the extra arrivals that all instances of \p storm
 /// together cause. The first processes have run for a window when the first
 /// request comes.
-std::vector<TimePoint> Play(const Storm& storm) {
+std::vector<TimePoint> Simulate(const Storm& storm) {
   const ArrivalBudgetSettings settings = SettingsOf(storm);
   std::vector<ArrivalBudget> budgets(storm.instances,
                                      ArrivalBudget(settings, TimePoint{}));
@@ -89,7 +89,7 @@
 // though the instances never communicate.
 BOOST_AUTO_TEST_CASE(StormStaysWithinTheBoundOfAllInstances) {
   const Storm storm;
-  const auto extras = Play(storm);
+  const auto extras = Simulate(storm);
   BOOST_TEST(MaxInAWindow(extras) <= Bound(storm));
   BOOST_TEST(extras.size() > 4 * 0.7 * Bound(storm));
 }
@@ -101,15 +101,15 @@
   for (const int restart : {5, 12, 25}) {
     Storm storm;
     storm.restarts = {restart};
-    BOOST_TEST(MaxInAWindow(Play(storm)) <= Bound(storm));
+    BOOST_TEST(MaxInAWindow(Simulate(storm)) <= Bound(storm));
   }
 }
 
 // Guards against processes that take the slack of the whole fleet: all
 // instances of a large fleet restart while its engines are full. Callers come
 // back immediately and engines refuse them. Endpoints got 1,462 extra arrivals
-// in ten seconds where 1,165 are allowed, and 1,500 in the first second after
-// the start, since each process knew of no other yet. Nearly all attempts
+// in ten seconds where 1,165 are allowed, 1,500 of them in the first second
+// after the start, since each process knew of no other yet. Nearly all attempts
 // refused in that second were logged with a budget shared by 1 or by 4.
 BOOST_AUTO_TEST_CASE(ProcessesWithoutPeersDoNotUseTheSlack) {
   Storm storm;
@@ -118,7 +118,7 @@
   storm.requests_per_second = 400;
   storm.restarts = {15};
   storm.discovery_delay = milliseconds(700);
-  BOOST_TEST(MaxInAWindow(Play(storm)) <= Bound(storm));
+  BOOST_TEST(MaxInAWindow(Simulate(storm)) <= Bound(storm));
 }
 
 // Engines begin to fail a second before all instances are killed. Arrivals of
@@ -128,7 +128,7 @@
   Storm storm;
   storm.fails_from_second = 19;
   storm.restarts = {20};
-  BOOST_TEST(MaxInAWindow(Play(storm)) <= Bound(storm));
+  BOOST_TEST(MaxInAWindow(Simulate(storm)) <= Bound(storm));
 }
 
 // All instances are killed three times within ten seconds. No new process knows
@@ -141,7 +141,7 @@
     storm.slack = instances == 6 ? 196 : 356;
     storm.fails_from_second = 19;
     storm.restarts = {20, 23, 26};
-    BOOST_TEST(MaxInAWindow(Play(storm)) <= Bound(storm));
+    BOOST_TEST(MaxInAWindow(Simulate(storm)) <= Bound(storm));
   }
 }
 
--- a/unittests/attempts/stall_detector_test.cc
+++ b/unittests/attempts/stall_detector_test.cc
@@ -17,7 +17,7 @@
 StallDetector DetectorWithGaps(int gap_millis) {
   StallDetector detector(kObjective);
   constexpr int kEvents = 20;
-  for (int at = 0; at < kEvents; ++at) detector.OnEvent(At(at * gap_millis));
+  for (int i = 0; i < kEvents; ++i) detector.OnEvent(At(i * gap_millis));
   return detector;
 }
 
@@ -44,10 +44,10 @@
 // requests.
 BOOST_AUTO_TEST_CASE(VaryingGapsGetMoreTime) {
   StallDetector detector(kObjective);
-  int at = 0;
+  int millis = 0;
   for (int event = 0; event < 20; ++event) {
-    at += event % 2 == 0 ? 20 : 80;
-    detector.OnEvent(At(at));
+    millis += event % 2 == 0 ? 20 : 80;
+    detector.OnEvent(At(millis));
   }
   BOOST_CHECK(detector.StallTimeout() > milliseconds(100));
 }
