--- a/include/toucanwharf/gossip/backup_leaders.h
+++ b/include/toucanwharf/gossip/backup_leaders.h
@@ -10,12 +10,12 @@
 
 namespace toucanwharf::gossip {
 
-/// So many backup leaders: one may fall together with the leader.
+/// Two, since one may fail together with the leader.
 inline constexpr std::size_t kBackupLeaders = 2;
 
-/// An instance that may be a backup leader.
+/// A peer that may be chosen as a backup leader.
 struct BackupLeaderCandidate {
-  /// Where it takes datagrams.
+  /// Address on which it receives datagrams.
   std::string address;
   std::string failure_domain;
   /// Part of a core that it may use.
@@ -25,32 +25,32 @@
                          const BackupLeaderCandidate&) = default;
 };
 
-/// Returns the addresses of those of \p candidates that are backup leaders of a
-/// leader in the failure domain \p domain: the strongest, in other domains than
-/// its own and one another where there are such. All instances that know the
-/// same candidates choose the same. Thread safety: safe.
+/// Returns the addresses of the backup leaders among \p candidates for a leader
+/// in the failure domain \p domain: the candidates with the largest processor
+/// share, in failure domains that differ from the leader's and from one another
+/// where possible. Instances that know the same candidates choose the same
+/// backup leaders. Thread safety: safe.
 std::vector<std::string> ChooseBackupLeaders(
     std::vector<BackupLeaderCandidate> candidates, const std::string& domain);
 
-/// The same, of the live peers.
+/// Chooses the backup leaders among the live peers.
 ///
-/// Load that it answers: when the leader of a large fleet dies, hundreds of
-/// instances lose their proofs of the configuration, their word of who lives
-/// and of all loads, for as long as the lease lasts, and each reads the store
-/// for itself meanwhile. All tell the backup leaders what they tell the leader,
-/// so that the backup leaders can tell everyone in its place. Thread safety:
-/// safe.
+/// Load: when the leader of a large fleet dies, hundreds of instances lose the
+/// confirmations of the configuration, the liveness state and the loads for as
+/// long as the lease lasts, and each reads the store for itself meanwhile.
+/// Every instance therefore reports to the backup leaders as well, so that they
+/// can report to all in the leader's place. Thread safety: safe.
 std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
                                              const std::string& domain,
                                              TimePoint now);
 
-/// Returns whether the instance whose datagram address is \p own acts for a
-/// leader that there isn't: it is the first of \p backup_leaders that is heard
-/// of. Thread safety: safe.
+/// Returns whether the instance with the datagram address \p own acts for a
+/// missing leader: no leader is known, and \p own is the first live one of \p
+/// backup_leaders. Thread safety: safe.
 bool ActsForLeader(const PeerTable& peers,
                    const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now);
 
 }  // namespace toucanwharf::gossip
 
-#endif  // TOUCANWHARF_GOSSIP_DEPUTIES_H_
+#endif  // TOUCANWHARF_GOSSIP_BACKUP_LEADERS_H_
--- a/include/toucanwharf/gossip/beacon_schedule.h
+++ b/include/toucanwharf/gossip/beacon_schedule.h
@@ -9,46 +9,47 @@
 
 namespace toucanwharf::gossip {
 
-/// How often whom, with the reason of each figure.
+/// Intervals and numbers of receivers of the beacons.
 struct BeaconScheduleSettings {
-  /// Between two rounds. Four a second keep what peers know of loads and of
-  /// the configuration's age within the time of an answer's first event.
+  /// Time between two rounds. Four rounds a second keep the peers' state of
+  /// loads and of the configuration's age as new as the time to an answer's
+  /// first event requires.
   Duration period = std::chrono::milliseconds(250);
-  /// Up to so many peers each gets a beacon in every round: 64 messages a
-  /// second, about 1% of a quarter of a core.
-  std::size_t everyone_up_to = 16;
-  /// In a larger fleet this many others of the own failure domain get one in
-  /// each round, by turns.
-  std::size_t at_once = 8;
-  /// A coordinator tells everyone in every second round: what it says of the
-  /// configuration's age and of all loads is what the others go by.
+  /// With up to this many peers each gets a beacon in every round: 64 messages
+  /// a second, about 1% of a quarter of a core.
+  std::size_t max_broadcast_peers = 16;
+  /// In a larger fleet, this many peers of the same failure domain get a beacon
+  /// in each round, in turn.
+  std::size_t same_domain_per_round = 8;
+  /// Rounds between two broadcasts of a coordinator. The other instances depend
+  /// on its report of the configuration's age and of all loads.
   std::size_t coordinator_every = 2;
-  /// A backup leader hears everyone in every second round: only the leader's
-  /// sums must be as new as can be.
+  /// Rounds between two beacons to a backup leader. Only the leader's sums have
+  /// to be as new as possible.
   std::size_t backup_leader_every = 2;
-  /// One of another failure domain gets a beacon in every fourth round.
-  std::size_t far_every = 4;
-  /// A peer counts as silent after its turn was missed so many times.
-  double turns_missed = 2.5;
-  /// But not sooner than this: five beacons may be lost.
+  /// Rounds between two beacons to a peer of another failure domain.
+  std::size_t other_domain_every = 4;
+  /// A peer counts as unresponsive once its turn was missed this many times.
+  double max_missed_turns = 2.5;
+  /// Lower bound of the peer timeout: five beacons may be lost.
   Duration min_peer_timeout = std::chrono::milliseconds(1500);
 
   friend bool operator==(const BeaconScheduleSettings&,
                          const BeaconScheduleSettings&) = default;
 };
 
-/// The peers of an instance, by what it has to tell them.
+/// The peers that an instance may send beacons to, by group.
 struct BeaconTargets {
-  /// Datagram addresses of peers in the own failure domain, and of those that
-  /// were never heard of.
+  /// Datagram addresses of peers in the same failure domain, and of peers that
+  /// were never contacted.
   std::vector<std::string> same_domain;
-  /// Those in other domains.
+  /// Datagram addresses of peers in other failure domains.
   std::vector<std::string> other_domains;
-  /// The leader, empty if none is known, and its backup leaders; they are among
-  /// the others as well.
+  /// The leader, empty if none is known, and its backup leaders. They are also
+  /// in the groups above.
   std::string leader;
   std::vector<std::string> backup_leaders;
-  /// Whether this instance leads or is a backup leader.
+  /// Whether this instance is the leader or a backup leader.
   bool is_coordinator = false;
 
   friend bool operator==(const BeaconTargets&, const BeaconTargets&) = default;
@@ -56,39 +57,40 @@
 
 /// Decides which peers get a beacon in a round.
 ///
-/// Load that it answers: if each of N instances told every other four times a
-/// second, each would send and read 8 N messages a second, and a fleet of 86
-/// small instances would spend its processors on talk. Here an instance sends
-/// and reads about 50 a second whatever the size, the leader and its backup
-/// leaders 2 N. Most stay in the failure domain, whose links are its own.
-/// Thread safety: none; for one thread.
+/// Load: if each of N instances sent four beacons a second to every other, each
+/// would send and receive 8 N messages a second, and a fleet of 86 small
+/// instances would spend its processor time on gossip. With this schedule an
+/// instance sends and receives about 50 a second whatever the size of the
+/// fleet, the leader and its backup leaders 2 N. Most messages stay in the
+/// failure domain, which has links of its own. Thread safety: none; for one
+/// thread.
 class BeaconSchedule {
  public:
   explicit BeaconSchedule(const BeaconScheduleSettings& chosen = {})
       : settings(chosen) {}
 
   Duration Period() const { return this->settings.period; }
-  /// Returns how often a coordinator tells everyone.
+  /// Returns the time between two broadcasts of a coordinator.
   Duration CoordinatorPeriod() const {
     return this->settings.period *
            static_cast<std::int64_t>(this->settings.coordinator_every);
   }
-  /// Returns whom to send to in this round.
-  std::vector<std::string> Next(const BeaconTargets& audience);
-  /// Returns whether the last round went to everyone.
-  bool LastRoundWasBroadcast() const { return this->everyone; }
-  /// Returns after how long without a beacon a peer is silent, where each has
-  /// \p near others in its failure domain.
-  Duration PeerTimeout(std::size_t near) const;
+  /// Returns the receivers of this round.
+  std::vector<std::string> Next(const BeaconTargets& targets);
+  /// Returns whether the last round went to all peers.
+  bool LastRoundWasBroadcast() const { return this->last_round_was_broadcast; }
+  /// Returns after how long without a beacon a peer counts as unresponsive,
+  /// where each instance has \p domain_peers peers in its failure domain.
+  Duration PeerTimeout(std::size_t domain_peers) const;
 
  private:
   BeaconScheduleSettings settings;
   std::size_t round = 0;
-  bool everyone = false;
-  std::size_t next_near = 0;
-  std::size_t next_far = 0;
+  bool last_round_was_broadcast = false;
+  std::size_t next_same_domain = 0;
+  std::size_t next_other_domain = 0;
 };
 
 }  // namespace toucanwharf::gossip
 
-#endif  // TOUCANWHARF_GOSSIP_ROTATION_H_
+#endif  // TOUCANWHARF_GOSSIP_BEACON_SCHEDULE_H_
--- a/include/toucanwharf/gossip/election_policy.h
+++ b/include/toucanwharf/gossip/election_policy.h
@@ -8,33 +8,36 @@
 
 namespace toucanwharf::gossip {
 
-/// Times of ElectionPolicy, with the reason of each.
+/// Delays of ElectionPolicy.
 struct ElectionSettings {
-  /// So many candidates try at once: one of them may be cut off from the store.
-  std::size_t at_once = 4;
-  /// The next ones follow after this long: a holder is heard of by all within
-  /// two of the leader's rounds.
-  Duration next_after = std::chrono::milliseconds(600);
-  /// But nobody waits longer: the first ones may all be gone.
-  Duration longest = std::chrono::milliseconds(3000);
-  /// A process with less than this part of a core leaves the first try after
-  /// its start to stronger ones, which it has not heard of yet. The leader of
-  /// 86 instances used a tenth of a core.
+  /// Candidates that attempt concurrently. More than one, since one may be cut
+  /// off from the store.
+  std::size_t concurrent_candidates = 4;
+  /// Delay until the next candidates follow: all instances learn of a new
+  /// holder within two of the leader's rounds.
+  Duration turn_interval = std::chrono::milliseconds(600);
+  /// Upper bound of a candidate's delay, since all the first ones may have
+  /// failed.
+  Duration max_delay = std::chrono::milliseconds(3000);
+  /// A process with less than this part of a core delays its first attempt
+  /// after a start, in favour of stronger ones that it hasn't been contacted by
+  /// yet. Leading 86 instances takes a tenth of a core.
   double strong_share = 0.2;
-  Duration weak_start = std::chrono::milliseconds(1000);
+  Duration weak_start_delay = std::chrono::milliseconds(1000);
 
   friend bool operator==(const ElectionSettings&,
                          const ElectionSettings&) = default;
 };
 
-/// Decides when an instance may try to take a leadership that is vacant.
+/// Decides when an instance may attempt to become the leader where there is
+/// none.
 ///
-/// Load that it answers: when the holder of the lease loses the store, 86
-/// instances look at the lease, write it and read who won, all within
-/// milliseconds, and a weak instance may win that spends its processor on
-/// talking to the others while its callers wait. Stronger ones go first, a few
-/// at a time; the others hear of the winner and needn't ask.
-/// Thread safety: none; for one thread.
+/// Load: when the holder of the lease loses the store, 86 instances read the
+/// lease, write it and read who won, all within milliseconds, and a weak
+/// instance may win that spends its processor time on messages to the others
+/// while its callers wait. Stronger instances go first, a few at a time; the
+/// others learn who won and needn't read the lease. Thread safety: none; for
+/// one thread.
 class ElectionPolicy {
  public:
   /// \p share is the part of a core that this process may use.
@@ -44,8 +47,8 @@
         strong(share >= chosen.strong_share),
         started(start) {}
 
-  /// Returns whether to try at \p now. \p vacant is whether no holder is known,
-  /// \p ahead how many live peers go before this instance.
+  /// Returns whether to attempt at \p now. \p vacant is whether no holder is
+  /// known, \p ahead how many live peers precede this instance.
   bool MayAttempt(bool vacant, std::size_t ahead, TimePoint now);
 
  private:
@@ -57,4 +60,4 @@
 
 }  // namespace toucanwharf::gossip
 
-#endif  // TOUCANWHARF_GOSSIP_CANDIDACY_H_
+#endif  // TOUCANWHARF_GOSSIP_ELECTION_POLICY_H_
--- a/include/toucanwharf/gossip/fleet_loads.h
+++ b/include/toucanwharf/gossip/fleet_loads.h
@@ -10,13 +10,14 @@
 
 namespace toucanwharf::gossip {
 
-/// What all instances together have under way, put together from the leader's
-/// parts. Thread safety: none; for one thread.
+/// What all instances together have in flight, assembled from the leader's
+/// partial reports. Thread safety: none; for one thread.
 class FleetLoads {
  public:
-  /// Takes what the leader tells of the endpoints in \p about: those that
-  /// \p loads leaves out are idle.
-  void Update(const KeyRange& about, const std::vector<KeyedLoad>& loads);
+  /// Applies the leader's report on the endpoints in \p covered_keys; those
+  /// that \p loads leaves out are idle.
+  void Update(const KeyRange& covered_keys,
+              const std::vector<KeyedLoad>& loads);
   /// Returns the loads of all parts, by key.
   std::vector<KeyedLoad> All() const;
 
--- a/include/toucanwharf/gossip/initial_read_policy.h
+++ b/include/toucanwharf/gossip/initial_read_policy.h
@@ -9,50 +9,52 @@
 
 namespace toucanwharf::gossip {
 
-/// Times of the first reads after a start, with the reason of each.
+/// Delays of the first reads after a start.
 struct InitialReadSettings {
-  /// Part of a core from which on an instance reads at once. A large fleet has
-  /// some such in each failure domain.
+  /// Part of a core from which on an instance reads immediately. A large fleet
+  /// has some such instances in each failure domain.
   double strong_share = ElectionSettings().strong_share;
-  /// By then the strong ones have told all others, each 250 ms some.
-  Duration peers_first = std::chrono::milliseconds(1000);
-  /// All together read forty times a second after that, while nobody has
-  /// anything to tell.
-  Duration turn = std::chrono::milliseconds(25);
+  /// By then the strong instances have sent their copies to all others, to some
+  /// of them every 250 ms.
+  Duration peer_copy_wait = std::chrono::milliseconds(1000);
+  /// Interval between two reads of the whole fleet after that: forty reads a
+  /// second while no copy is available.
+  Duration read_interval = std::chrono::milliseconds(25);
 
   friend bool operator==(const InitialReadSettings&,
                          const InitialReadSettings&) = default;
 };
 
 /// Returns whether an instance that may use the part \p share of a core reads
-/// at once, and tells the others of its failure domain. Thread safety: safe.
+/// immediately and sends copies to the others of its failure domain. Thread
+/// safety: safe.
 inline bool ReadsImmediately(double share,
                              const InitialReadSettings& settings = {}) {
   return share >= settings.strong_share;
 }
 
-/// Decides when a process that has just started may read the store for what it
+/// Decides when a process that has just started may read from the store what it
 /// doesn't have yet.
 ///
-/// Load that it answers: all processes of a large fleet start at once. What
-/// each reads grows with the fleet: the lists of 3,000 endpoints to 300
-/// instances are 225 MB, which take the store's link for seconds in which
-/// nobody serves. The strong ones read at once; the others get their copies
-/// from them, deflated and over links of their own, and read only if none
-/// comes. Thread safety: safe; immutable.
+/// Load: all processes of a large fleet start at the same time. What each reads
+/// grows with the fleet: the lists of 3,000 endpoints to 300 instances are 225
+/// MB, which saturate the store's link for seconds in which no instance serves.
+/// The strong instances read immediately; the others get compressed copies from
+/// them over other links, and read only if none arrives. Thread safety: safe;
+/// immutable.
 class InitialReadPolicy {
  public:
-  /// \p share is the part of a core that this process may use, \p unit a number
-  /// from 0 to 1 that was drawn at random.
+  /// \p share is the part of a core that this process may use, \p unit a random
+  /// number from 0 to 1.
   InitialReadPolicy(double share, TimePoint start, double unit,
                     const InitialReadSettings& chosen = {})
       : settings(chosen),
         strong(ReadsImmediately(share, chosen)),
         started(start),
-        drawn(unit) {}
+        jitter(unit) {}
 
-  /// Returns whether to read at \p now. \p instances is how many there are,
-  /// nothing while that is not known.
+  /// Returns whether to read at \p now. \p instances is the number of
+  /// instances, nothing while it is unknown.
   bool MayRead(const std::optional<std::size_t>& instances,
                TimePoint now) const;
 
@@ -60,9 +62,9 @@
   InitialReadSettings settings;
   bool strong;
   TimePoint started;
-  double drawn;
+  double jitter;
 };
 
 }  // namespace toucanwharf::gossip
 
-#endif  // TOUCANWHARF_GOSSIP_FIRST_READ_H_
+#endif  // TOUCANWHARF_GOSSIP_INITIAL_READ_POLICY_H_
--- a/include/toucanwharf/gossip/key_range.h
+++ b/include/toucanwharf/gossip/key_range.h
@@ -7,40 +7,40 @@
 
 namespace toucanwharf::gossip {
 
-/// A part of all endpoints: those whose keys (see endpoints::EndpointKey) lie
-/// in it. Keys are spread evenly, so that parts of a width hold as many.
+/// A range of endpoint keys (see endpoints::EndpointKey). Keys are spread
+/// evenly, so that ranges of equal width hold about as many endpoints.
 struct KeyRange {
   std::uint32_t first = 0;
   std::uint32_t last = std::numeric_limits<std::uint32_t>::max();
 
-  /// Returns whether \p key lies in it. Thread safety: safe.
+  /// Returns whether \p key lies in the range. Thread safety: safe.
   bool Contains(std::uint32_t key) const {
     return this->first <= key && key <= this->last;
   }
-  /// Returns how many parts of this width make the whole.
-  /// Thread safety: safe.
+  /// Returns how many ranges of this width cover all keys. Thread safety: safe.
   std::size_t Parts() const;
 
   friend bool operator==(const KeyRange&, const KeyRange&) = default;
 };
 
-/// Cuts what the leader tells of all endpoints into parts, one for each round.
+/// Divides the leader's report on all endpoints into ranges, one for each
+/// round.
 ///
-/// Load that it answers: thousands of endpoints. What the leader knows of 3,000
-/// has 78 KB, more than a datagram holds, and would take the whole of its link
-/// if it told hundreds of instances twice a second. Each part stands alone, so
-/// that a lost one is made good by the same part's next turn.
-/// Thread safety: none; for one thread.
+/// Load: thousands of endpoints. The leader's report on 3,000 of them takes 78
+/// KB, more than a datagram holds, and would saturate its link if it went to
+/// hundreds of instances twice a second. Each range is complete in itself, so
+/// that the next report on the same range makes up for a lost one. Thread
+/// safety: none; for one thread.
 class KeyRanges {
  public:
-  /// So many endpoints are told of in one message, in some 16 KB.
-  static constexpr std::size_t kMostEndpoints = 600;
+  /// Endpoints in one message, of about 16 KB.
+  static constexpr std::size_t kMaxEndpoints = 600;
 
-  /// Returns the part whose turn it is, of \p endpoints endpoints.
+  /// Returns the next range, of \p endpoints endpoints.
   KeyRange Next(std::size_t endpoints);
 
  private:
-  std::size_t turn = 0;
+  std::size_t next_part = 0;
 };
 
 }  // namespace toucanwharf::gossip
--- a/include/toucanwharf/gossip/ready_instance_list.h
+++ b/include/toucanwharf/gossip/ready_instance_list.h
@@ -11,7 +11,7 @@
 namespace toucanwharf::gossip {
 
 /// Returns the IPv4 address in the address "IP:PORT" as a number in host byte
-/// order, or nothing if it is none. Thread safety: safe.
+/// order, or nothing if it is invalid. Thread safety: safe.
 std::optional<std::uint32_t> IpNumber(const std::string& address);
 
 /// Returns the port in the address "IP:PORT". Thread safety: safe.
@@ -21,29 +21,30 @@
 /// Thread safety: safe.
 std::string AddressOf(std::uint32_t number, const std::string& port);
 
-/// Which instances callers may be sent to, by the leader's word.
+/// The instances to which callers may be sent, as the leader reports them.
 ///
-/// Load that it answers: in a fleet of hundreds an instance hears of each other
-/// one by turns, and learns of a dead one after half a minute; until then it
-/// sends callers there. The leader hears everyone four times a second, and
-/// tells everyone whom it hears. Thread safety: none; for one thread.
+/// Load: in a fleet of hundreds an instance gets beacons of each other one only
+/// in turn, and detects a dead one after half a minute; until then it sends
+/// callers there. The leader gets a beacon of each instance four times a
+/// second, and reports the live ones to all. Thread safety: none; for one
+/// thread.
 class ReadyInstanceList {
  public:
-  /// The word of a leader that has fallen silent counts for so long.
+  /// How long the last report counts once the leader is unresponsive.
   static constexpr Duration kMaxAge = std::chrono::milliseconds(1500);
 
-  /// Takes the leader's word. An empty one says nothing.
+  /// Applies the leader's report. An empty one is ignored.
   void Update(const std::vector<std::uint32_t>& ready, TimePoint now);
-  /// Returns whether the leader's word still counts.
+  /// Returns whether the last report still counts.
   bool IsCurrent(TimePoint now) const;
-  /// Returns the instances in it. Precondition: it holds.
+  /// Returns the instances in the last report. Precondition: IsCurrent().
   const std::vector<std::uint32_t>& Ready() const { return this->ready; }
 
  private:
   std::vector<std::uint32_t> ready;
-  std::optional<TimePoint> taken;
+  std::optional<TimePoint> updated_at;
 };
 
 }  // namespace toucanwharf::gossip
 
-#endif  // TOUCANWHARF_GOSSIP_ROSTER_H_
+#endif  // TOUCANWHARF_GOSSIP_READY_INSTANCE_LIST_H_
--- a/lib/gossip/backup_leaders.cc
+++ b/lib/gossip/backup_leaders.cc
@@ -18,13 +18,14 @@
   std::vector<std::string> chosen;
   std::set<std::string> domains = {domain};
   for (const bool elsewhere : {true, false}) {
-    for (const BackupLeaderCandidate& one : candidates) {
+    for (const BackupLeaderCandidate& candidate : candidates) {
       if (chosen.size() == kBackupLeaders) return chosen;
-      const bool known =
-          std::find(chosen.begin(), chosen.end(), one.address) != chosen.end();
+      const bool known = std::find(chosen.begin(), chosen.end(),
+                                   candidate.address) != chosen.end();
       if (known) continue;
-      if (elsewhere && !domains.insert(one.failure_domain).second) continue;
-      chosen.push_back(one.address);
+      if (elsewhere && !domains.insert(candidate.failure_domain).second)
+        continue;
+      chosen.push_back(candidate.address);
     }
   }
   return chosen;
@@ -48,8 +49,8 @@
                    const std::string& own, TimePoint now) {
   if (!peers.Leader(now).empty()) return false;
   const auto first = std::find_if(
-      backup_leaders.begin(), backup_leaders.end(), [&](const auto& one) {
-        return one == own || peers.Live(one, now) != nullptr;
+      backup_leaders.begin(), backup_leaders.end(), [&](const auto& candidate) {
+        return candidate == own || peers.Live(candidate, now) != nullptr;
       });
   return first != backup_leaders.end() && *first == own;
 }
--- a/lib/gossip/beacon.cc
+++ b/lib/gossip/beacon.cc
@@ -11,15 +11,14 @@
 
 using Json = nlohmann::json;
 
-/// Another layout of the message gets another number, and is ignored by
-/// instances that don't know it.
+/// Version of the message layout. Instances ignore messages of another version.
 constexpr std::uint64_t kFormat = 7;
 
 Json AgeOrNull(const std::optional<Duration>& age) {
   return age ? Json(age->count()) : Json();
 }
 
-std::optional<Duration> AgeOf(const Json& json) {
+std::optional<Duration> AgeFromJson(const Json& json) {
   if (!json.is_number_integer()) return std::nullopt;
   return Duration(json.get<std::int64_t>());
 }
@@ -40,7 +39,7 @@
   return list;
 }
 
-/// One flat array: arrays within it would cost a byte for each entry.
+/// Encodes as one flat array: nested arrays would cost a byte for each entry.
 Json KeyedLoadsToJson(const std::vector<KeyedLoad>& loads) {
   Json list = Json::array();
   for (const KeyedLoad& load : loads) {
@@ -52,71 +51,74 @@
   return list;
 }
 
-std::vector<KeyedLoad> KeyedLoadsOf(const Json& list) {
+std::vector<KeyedLoad> KeyedLoadsFromJson(const Json& list) {
   constexpr std::size_t kMembers = 4;
   std::vector<KeyedLoad> loads;
-  for (std::size_t at = 0; at < list.size(); at += kMembers) {
-    loads.push_back({list.at(at).get<std::uint32_t>(),
-                     list.at(at + 1).get<double>(),
-                     list.at(at + 2).get<double>() * kThousand,
-                     list.at(at + 3).get<double>()});
+  for (std::size_t i = 0; i < list.size(); i += kMembers) {
+    loads.push_back({list.at(i).get<std::uint32_t>(),
+                     list.at(i + 1).get<double>(),
+                     list.at(i + 2).get<double>() * kThousand,
+                     list.at(i + 3).get<double>()});
   }
   return loads;
 }
 
 Json SuspicionsToJson(const std::vector<Suspicion>& suspicions) {
   Json list = Json::array();
-  for (const Suspicion& one : suspicions) {
-    list.push_back({one.endpoint, one.remaining.count(), one.unresponsive});
+  for (const Suspicion& suspicion : suspicions) {
+    list.push_back({suspicion.endpoint, suspicion.remaining.count(),
+                    suspicion.unresponsive});
   }
   return list;
 }
 
-Json FactsToJson(const std::vector<KeyedEngineStatus>& facts) {
+Json EngineStatusesToJson(const std::vector<KeyedEngineStatus>& statuses) {
   Json list = Json::array();
-  for (const KeyedEngineStatus& fact : facts) {
-    list.push_back(fact.key);
-    list.push_back(fact.layers.begin);
-    list.push_back(fact.layers.end);
-    list.push_back(Rounded(fact.slowdown * kHundredths));
-    list.push_back(Rounded(fact.token_layers / kThousand));
+  for (const KeyedEngineStatus& status : statuses) {
+    list.push_back(status.key);
+    list.push_back(status.layers.begin);
+    list.push_back(status.layers.end);
+    list.push_back(Rounded(status.slowdown * kHundredths));
+    list.push_back(Rounded(status.token_layers / kThousand));
   }
   return list;
 }
 
-std::vector<EndpointLoad> LoadsOf(const Json& list) {
+std::vector<EndpointLoad> LoadsFromJson(const Json& list) {
   std::vector<EndpointLoad> loads;
-  for (const Json& one : list) {
-    loads.push_back({one.at(0).get<std::string>(), one.at(1).get<double>(),
-                     one.at(2).get<double>(), one.at(3).get<double>()});
+  for (const Json& entry : list) {
+    loads.push_back({entry.at(0).get<std::string>(), entry.at(1).get<double>(),
+                     entry.at(2).get<double>(), entry.at(3).get<double>()});
   }
   return loads;
 }
 
-std::vector<Suspicion> SuspicionsOf(const Json& list) {
+std::vector<Suspicion> SuspicionsFromJson(const Json& list) {
   std::vector<Suspicion> suspicions;
-  for (const Json& one : list) {
-    suspicions.push_back({one.at(0).get<std::string>(),
-                          Duration(one.at(1).get<std::int64_t>()),
-                          one.at(2).get<bool>()});
+  for (const Json& entry : list) {
+    suspicions.push_back({entry.at(0).get<std::string>(),
+                          Duration(entry.at(1).get<std::int64_t>()),
+                          entry.at(2).get<bool>()});
   }
   return suspicions;
 }
 
-std::vector<KeyedEngineStatus> FactsOf(const Json& list) {
+std::vector<KeyedEngineStatus> EngineStatusesFromJson(const Json& list) {
   constexpr std::size_t kMembers = 5;
-  std::vector<KeyedEngineStatus> facts;
-  for (std::size_t at = 0; at < list.size(); at += kMembers) {
-    facts.push_back({list.at(at).get<std::uint32_t>(),
-                     pipeline::LayerRange{list.at(at + 1).get<std::uint32_t>(),
-                                          list.at(at + 2).get<std::uint32_t>()},
-                     list.at(at + 3).get<double>() / kHundredths,
-                     list.at(at + 4).get<double>() * kThousand});
+  std::vector<KeyedEngineStatus> statuses;
+  for (std::size_t i = 0; i < list.size(); i += kMembers) {
+    statuses.push_back(
+        {list.at(i).get<std::uint32_t>(),
+         pipeline::LayerRange{list.at(i + 1).get<std::uint32_t>(),
+                              list.at(i + 2).get<std::uint32_t>()},
+         list.at(i + 3).get<double>() / kHundredths,
+         list.at(i + 4).get<double>() * kThousand});
   }
-  return facts;
+  return statuses;
 }
 
-/// Precondition: the JSON has the shape that Encode writes; else it throws.
+/// Precondition: the JSON has the shape that Encode writes; otherwise it
+/// throws.
 Beacon FromJson(const Json& json) {
   Beacon beacon;
   beacon.instance = json.at("i").get<std::string>();
@@ -129,47 +131,47 @@
   beacon.stopping = json.at("s").get<bool>();
   beacon.leads = json.at("l").get<bool>();
   beacon.configuration_revision = NumberMember(json, "v");
-  beacon.configuration_age = AgeOf(json.at("va"));
+  beacon.configuration_age = AgeFromJson(json.at("va"));
   beacon.endpoints_revision = NumberMember(json, "e");
-  beacon.endpoints_age = AgeOf(json.at("ea"));
+  beacon.endpoints_age = AgeFromJson(json.at("ea"));
   beacon.stamp = json.at("t").get<std::int64_t>();
-  beacon.loads = LoadsOf(json.at("o"));
+  beacon.loads = LoadsFromJson(json.at("o"));
   beacon.covered_keys = {json.at("kr").at(0).get<std::uint32_t>(),
                          json.at("kr").at(1).get<std::uint32_t>()};
-  beacon.fleet_loads = KeyedLoadsOf(json.at("fo"));
-  beacon.suspicions = SuspicionsOf(json.at("q"));
-  beacon.engine_statuses = FactsOf(json.at("f"));
+  beacon.fleet_loads = KeyedLoadsFromJson(json.at("fo"));
+  beacon.suspicions = SuspicionsFromJson(json.at("q"));
+  beacon.engine_statuses = EngineStatusesFromJson(json.at("f"));
   beacon.ready_instances = json.at("ri").get<std::vector<std::uint32_t>>();
   beacon.backup_leaders = json.at("dp").get<std::vector<std::string>>();
   beacon.peers = json.at("p").get<std::vector<std::string>>();
   return beacon;
 }
 
-/// Keeps the first \p most of \p list in the order of \p before.
+/// Keeps the first \p max_size elements of \p list in the order of \p order.
 template <typename T, typename Order>
-void KeepFirst(std::vector<T>& list, std::size_t most, Order before) {
-  if (list.size() <= most) return;
+void KeepTop(std::vector<T>& list, std::size_t max_size, Order order) {
+  if (list.size() <= max_size) return;
   std::nth_element(list.begin(),
-                   list.begin() + static_cast<std::ptrdiff_t>(most), list.end(),
-                   before);
-  list.resize(most);
+                   list.begin() + static_cast<std::ptrdiff_t>(max_size),
+                   list.end(), order);
+  list.resize(max_size);
 }
 
 }  // namespace
 
 void TrimToDatagram(Beacon& beacon) {
-  // Beside one part of what the leader tells, both stay below 64 KB with ids of
-  // 36 bytes.
-  constexpr std::size_t kMostLoads = 500;
-  constexpr std::size_t kMostSuspicions = 200;
-  KeepFirst(beacon.loads, kMostLoads,
-            [](const EndpointLoad& left, const EndpointLoad& right) {
-              return left.token_layers > right.token_layers;
-            });
-  KeepFirst(beacon.suspicions, kMostSuspicions,
-            [](const Suspicion& left, const Suspicion& right) {
-              return left.remaining > right.remaining;
-            });
+  // Together with one part of the leader's report, both stay below 64 KB with
+  // ids of 36 bytes.
+  constexpr std::size_t kMaxLoads = 500;
+  constexpr std::size_t kMaxSuspicions = 200;
+  KeepTop(beacon.loads, kMaxLoads,
+          [](const EndpointLoad& left, const EndpointLoad& right) {
+            return left.token_layers > right.token_layers;
+          });
+  KeepTop(beacon.suspicions, kMaxSuspicions,
+          [](const Suspicion& left, const Suspicion& right) {
+            return left.remaining > right.remaining;
+          });
 }
 
 EncodedBeacon::EncodedBeacon(const Beacon& beacon) {
@@ -193,7 +195,7 @@
       {"kr", {beacon.covered_keys.first, beacon.covered_keys.last}},
       {"fo", KeyedLoadsToJson(beacon.fleet_loads)},
       {"q", SuspicionsToJson(beacon.suspicions)},
-      {"f", FactsToJson(beacon.engine_statuses)},
+      {"f", EngineStatusesToJson(beacon.engine_statuses)},
       {"ri", beacon.ready_instances},
       {"dp", beacon.backup_leaders},
       {"p", beacon.peers}};
@@ -221,8 +223,9 @@
   bytes.remove_suffix(1);
   if (size > bytes.size()) return std::nullopt;
   const std::size_t common = bytes.size() - size;
-  // A sender of another build may leave members out; such a message is none.
-  // Bytes that claim an array longer than any make the parser throw as well.
+  // A sender of another build may leave members out; such a message is invalid.
+  // Bytes that claim an array longer than the parser's limit make it throw,
+  // too.
   try {
     const Json trailer = Json::from_cbor(bytes.substr(common), true, false);
     const Json json = Json::from_cbor(bytes.substr(0, common), true, false);
--- a/lib/gossip/beacon_schedule.cc
+++ b/lib/gossip/beacon_schedule.cc
@@ -5,66 +5,70 @@
 namespace toucanwharf::gossip {
 namespace {
 
-/// Adds those of \p more to \p chosen that are not in it.
-void AddNew(std::vector<std::string>& chosen,
-            const std::vector<std::string>& more) {
-  for (const std::string& one : more) {
-    const bool there =
-        std::find(chosen.begin(), chosen.end(), one) != chosen.end();
-    if (!there) chosen.push_back(one);
+/// Adds the elements of \p added to \p chosen that it lacks.
+void AddMissing(std::vector<std::string>& chosen,
+                const std::vector<std::string>& added) {
+  for (const std::string& address : added) {
+    const bool present =
+        std::find(chosen.begin(), chosen.end(), address) != chosen.end();
+    if (!present) chosen.push_back(address);
   }
 }
 
 }  // namespace
 
-std::vector<std::string> BeaconSchedule::Next(const BeaconTargets& audience) {
+std::vector<std::string> BeaconSchedule::Next(const BeaconTargets& targets) {
   ++this->round;
-  const std::size_t all =
-      audience.same_domain.size() + audience.other_domains.size();
-  const bool turn = audience.is_coordinator &&
-                    this->round % this->settings.coordinator_every == 0;
-  this->everyone = all <= this->settings.everyone_up_to || turn;
-  if (this->everyone) {
-    std::vector<std::string> told = audience.same_domain;
-    told.insert(told.end(), audience.other_domains.begin(),
-                audience.other_domains.end());
-    return told;
+  const std::size_t peer_count =
+      targets.same_domain.size() + targets.other_domains.size();
+  const bool broadcast_turn =
+      targets.is_coordinator &&
+      this->round % this->settings.coordinator_every == 0;
+  this->last_round_was_broadcast =
+      peer_count <= this->settings.max_broadcast_peers || broadcast_turn;
+  if (this->last_round_was_broadcast) {
+    std::vector<std::string> receivers = targets.same_domain;
+    receivers.insert(receivers.end(), targets.other_domains.begin(),
+                     targets.other_domains.end());
+    return receivers;
   }
   std::vector<std::string> chosen;
-  if (!audience.leader.empty()) chosen.push_back(audience.leader);
+  if (!targets.leader.empty()) chosen.push_back(targets.leader);
   if (this->round % this->settings.backup_leader_every == 0 ||
-      audience.is_coordinator) {
-    AddNew(chosen, audience.backup_leaders);
+      targets.is_coordinator) {
+    AddMissing(chosen, targets.backup_leaders);
   }
-  if (audience.is_coordinator) return chosen;
-  std::vector<std::string> turns;
-  const std::size_t count =
-      std::min(this->settings.at_once, audience.same_domain.size());
-  for (std::size_t at = 0; at < count; ++at) {
-    turns.push_back(
-        audience.same_domain[this->next_near++ % audience.same_domain.size()]);
+  if (targets.is_coordinator) return chosen;
+  std::vector<std::string> round_robin;
+  const std::size_t count = std::min(this->settings.same_domain_per_round,
+                                     targets.same_domain.size());
+  for (std::size_t i = 0; i < count; ++i) {
+    round_robin.push_back(targets.same_domain[this->next_same_domain++ %
+                                              targets.same_domain.size()]);
   }
-  // One of another failure domain, so that domains which have lost the leader
-  // and one another find together again.
-  const bool far_turn = this->round % this->settings.far_every == 0;
-  if (far_turn && !audience.other_domains.empty()) {
-    turns.push_back(audience.other_domains[this->next_far++ %
-                                           audience.other_domains.size()]);
+  // One peer of another failure domain per turn, so that domains which have
+  // lost the leader and one another get in contact again.
+  const bool other_domain_turn =
+      this->round % this->settings.other_domain_every == 0;
+  if (other_domain_turn && !targets.other_domains.empty()) {
+    round_robin.push_back(targets.other_domains[this->next_other_domain++ %
+                                                targets.other_domains.size()]);
   }
-  AddNew(chosen, turns);
+  AddMissing(chosen, round_robin);
   return chosen;
 }
 
-Duration BeaconSchedule::PeerTimeout(std::size_t near) const {
-  if (near <= this->settings.everyone_up_to) {
+Duration BeaconSchedule::PeerTimeout(std::size_t domain_peers) const {
+  if (domain_peers <= this->settings.max_broadcast_peers) {
     return this->settings.min_peer_timeout;
   }
-  const double rounds =
-      static_cast<double>(near) / static_cast<double>(this->settings.at_once);
-  const double missed = rounds * this->settings.turns_missed *
-                        static_cast<double>(this->settings.period.count());
+  const double rounds_per_turn =
+      static_cast<double>(domain_peers) /
+      static_cast<double>(this->settings.same_domain_per_round);
+  const double missed_time = rounds_per_turn * this->settings.max_missed_turns *
+                             static_cast<double>(this->settings.period.count());
   return std::max(this->settings.min_peer_timeout,
-                  Duration(static_cast<std::int64_t>(missed)));
+                  Duration(static_cast<std::int64_t>(missed_time)));
 }
 
 }  // namespace toucanwharf::gossip
--- a/lib/gossip/election_policy.cc
+++ b/lib/gossip/election_policy.cc
@@ -10,13 +10,14 @@
     return false;
   }
   if (!this->vacant_since) this->vacant_since = now;
-  if (!this->strong && now - this->started < this->settings.weak_start) {
+  if (!this->strong && now - this->started < this->settings.weak_start_delay) {
     return false;
   }
-  const auto turn = static_cast<std::int64_t>(ahead / this->settings.at_once);
-  const Duration wait =
-      std::min(this->settings.longest, this->settings.next_after * turn);
-  return now - *this->vacant_since >= wait;
+  const auto turn =
+      static_cast<std::int64_t>(ahead / this->settings.concurrent_candidates);
+  const Duration delay =
+      std::min(this->settings.max_delay, this->settings.turn_interval * turn);
+  return now - *this->vacant_since >= delay;
 }
 
 }  // namespace toucanwharf::gossip
--- a/lib/gossip/fleet_loads.cc
+++ b/lib/gossip/fleet_loads.cc
@@ -2,12 +2,12 @@
 
 namespace toucanwharf::gossip {
 
-void FleetLoads::Update(const KeyRange& about,
+void FleetLoads::Update(const KeyRange& covered_keys,
                         const std::vector<KeyedLoad>& loads) {
-  this->by_key.erase(this->by_key.lower_bound(about.first),
-                     this->by_key.upper_bound(about.last));
+  this->by_key.erase(this->by_key.lower_bound(covered_keys.first),
+                     this->by_key.upper_bound(covered_keys.last));
   for (const KeyedLoad& load : loads) {
-    if (about.Contains(load.key)) this->by_key[load.key] = load;
+    if (covered_keys.Contains(load.key)) this->by_key[load.key] = load;
   }
 }
 
--- a/lib/gossip/peer_table.cc
+++ b/lib/gossip/peer_table.cc
@@ -7,13 +7,13 @@
 namespace toucanwharf::gossip {
 
 void PeerTable::AddAddress(const std::string& address, TimePoint now) {
-  const auto [at, added] = this->entries.try_emplace(address);
-  if (added) at->second.last_sign = now;
+  const auto [entry, added] = this->entries.try_emplace(address);
+  if (added) entry->second.last_alive_at = now;
 }
 
 bool PeerTable::OnBeacon(const std::string& sender, const Beacon& beacon,
                          TimePoint now) {
-  if (beacon.instance == this->own) {
+  if (beacon.instance == this->local_instance) {
     this->entries.erase(sender);
     return false;
   }
@@ -23,13 +23,13 @@
     return false;
   }
   entry.peer = Peer{beacon, now};
-  entry.last_sign = now;
+  entry.last_alive_at = now;
   return true;
 }
 
 void PeerTable::RecordLiveness(const std::string& address, TimePoint now) {
   const auto found = this->entries.find(address);
-  if (found != this->entries.end()) found->second.last_sign = now;
+  if (found != this->entries.end()) found->second.last_alive_at = now;
 }
 
 std::vector<std::string> PeerTable::Addresses(TimePoint now) const {
@@ -52,7 +52,7 @@
   const auto found = this->entries.find(address);
   if (found == this->entries.end() || !found->second.peer) return nullptr;
   const Peer& peer = *found->second.peer;
-  return now - peer.last_beacon_at > this->settings.silent_after ? nullptr
+  return now - peer.last_beacon_at > this->settings.peer_timeout ? nullptr
                                                                  : &peer;
 }
 
@@ -66,15 +66,16 @@
 }
 
 bool PeerTable::IsLargeFleet(TimePoint now) const {
-  return this->InstanceCount(now) > 1 + BeaconScheduleSettings().everyone_up_to;
+  return this->InstanceCount(now) >
+         1 + BeaconScheduleSettings().max_broadcast_peers;
 }
 
 std::string PeerTable::Leader(TimePoint now) const {
   for (const auto& [address, entry] : this->entries) {
     if (!entry.peer || !entry.peer->beacon.leads) continue;
-    const bool heard =
-        now - entry.peer->last_beacon_at <= this->settings.leader_silent_after;
-    if (heard) return address;
+    const bool alive =
+        now - entry.peer->last_beacon_at <= this->settings.leader_timeout;
+    if (alive) return address;
   }
   return {};
 }
@@ -88,8 +89,7 @@
     const auto found = this->entries.find(address);
     if (found == this->entries.end() || !found->second.peer) continue;
     const Peer& peer = *found->second.peer;
-    if (now - peer.last_beacon_at > this->settings.leader_silent_after)
-      continue;
+    if (now - peer.last_beacon_at > this->settings.leader_timeout) continue;
     if (!peer.beacon.configuration_age) continue;
     const Duration age =
         *peer.beacon.configuration_age + (now - peer.last_beacon_at);
@@ -117,7 +117,7 @@
 std::size_t PeerTable::InstanceCount(TimePoint now) const {
   std::size_t count = 1;
   for (const auto& [address, entry] : this->entries) {
-    if (this->Counts(entry, now)) ++count;
+    if (this->IsCounted(entry, now)) ++count;
   }
   return count;
 }
@@ -125,7 +125,7 @@
 std::size_t PeerTable::StartedWithin(Duration lately, TimePoint now) const {
   std::size_t count = 1;
   for (const auto& [address, entry] : this->entries) {
-    if (!this->Counts(entry, now)) continue;
+    if (!this->IsCounted(entry, now)) continue;
     const Peer* peer = this->Live(address, now);
     const bool older =
         peer != nullptr &&
@@ -137,21 +137,21 @@
 
 namespace {
 
-/// Returns the later of \p best and what \p beacon proves to \p receiver by
-/// \p age.
+/// Returns the later of \p best and the moment that \p beacon confirms to \p
+/// receiver by \p age.
 ///
-/// Failure guarded against: the receiver lost power and started anew with
-/// another clock, and the sender still echoes a stamp of the clock before. The
-/// proof would lie in the future, and the configuration would count as current
-/// for ever without a read. So the stamp must be one of this process.
-std::optional<TimePoint> Later(std::optional<TimePoint> best,
-                               const Beacon& beacon,
-                               const std::string& receiver,
-                               const std::optional<Duration>& age) {
+/// Guards against a receiver that lost power and restarted with another clock,
+/// while the sender still echoes a stamp of the previous clock. The
+/// confirmation would lie in the future, and the configuration would count as
+/// current forever without a read. So the stamp must come from this process.
+std::optional<TimePoint> LaterConfirmation(std::optional<TimePoint> best,
+                                           const Beacon& beacon,
+                                           const std::string& receiver,
+                                           const std::optional<Duration>& age) {
   if (!age || *age < Duration(0)) return best;
   if (beacon.echo == 0 || beacon.echo_of != receiver) return best;
-  const TimePoint proved = TimePoint{Duration(beacon.echo)} - *age;
-  return best ? std::max(*best, proved) : proved;
+  const TimePoint confirmed = TimePoint{Duration(beacon.echo)} - *age;
+  return best ? std::max(*best, confirmed) : confirmed;
 }
 
 }  // namespace
@@ -162,7 +162,8 @@
   for (const Peer* peer : this->AllLive(now)) {
     const Beacon& beacon = peer->beacon;
     if (beacon.configuration_revision > revision) continue;
-    best = Later(best, beacon, this->own, beacon.configuration_age);
+    best = LaterConfirmation(best, beacon, this->local_instance,
+                             beacon.configuration_age);
   }
   return best;
 }
@@ -173,7 +174,8 @@
   for (const Peer* peer : this->AllLive(now)) {
     const Beacon& beacon = peer->beacon;
     if (beacon.endpoints_revision > revision) continue;
-    best = Later(best, beacon, this->own, beacon.endpoints_age);
+    best = LaterConfirmation(best, beacon, this->local_instance,
+                             beacon.endpoints_age);
   }
   return best;
 }
@@ -181,7 +183,8 @@
 std::optional<TimePoint> PeerTable::StoreAnsweredAt(TimePoint now) const {
   std::optional<TimePoint> best;
   for (const Peer* peer : this->AllLive(now)) {
-    best = Later(best, peer->beacon, this->own, peer->beacon.endpoints_age);
+    best = LaterConfirmation(best, peer->beacon, this->local_instance,
+                             peer->beacon.endpoints_age);
   }
   return best;
 }
--- a/lib/gossip/ready_instance_list.cc
+++ b/lib/gossip/ready_instance_list.cc
@@ -24,15 +24,15 @@
   return std::string(text.data()) + ":" + port;
 }
 
-void ReadyInstanceList::Update(const std::vector<std::uint32_t>& told,
+void ReadyInstanceList::Update(const std::vector<std::uint32_t>& reported,
                                TimePoint now) {
-  if (told.empty()) return;
-  this->ready = told;
-  this->taken = now;
+  if (reported.empty()) return;
+  this->ready = reported;
+  this->updated_at = now;
 }
 
 bool ReadyInstanceList::IsCurrent(TimePoint now) const {
-  return this->taken && now - *this->taken <= kMaxAge;
+  return this->updated_at && now - *this->updated_at <= kMaxAge;
 }
 
 }  // namespace toucanwharf::gossip
--- a/unittests/gossip/gossip_test.cc
+++ b/unittests/gossip/gossip_test.cc
@@ -29,9 +29,9 @@
   return beacon;
 }
 
-/// A beacon of a peer that vouches for the configuration 5, read \p age ago,
-/// in answer to what \p to sent at \p echo of its own clock.
-Beacon Vouching(const std::string& to, int echo, int age) {
+/// A beacon of a peer that confirms the configuration 5, read \p age ago, and
+/// echoes what \p to sent at \p echo of its own clock.
+Beacon ConfirmingBeacon(const std::string& to, int echo, int age) {
   Beacon beacon = MakeBeacon("peer", 1);
   beacon.configuration_revision = 5;
   beacon.configuration_age = milliseconds(age);
@@ -40,7 +40,7 @@
   return beacon;
 }
 
-RC_BOOST_PROP(BeaconsSurviveTheWire, ()) {
+RC_BOOST_PROP(DecodingReversesEncoding, ()) {
   Beacon beacon;
   beacon.instance =
       *rc::gen::container<std::string>(rc::gen::inRange('a', 'z'));
@@ -67,22 +67,22 @@
   RC_ASSERT(*read == beacon);
 }
 
-/// What a leader that tells of \p endpoints endpoints, all loaded, and has as
-/// much under way itself, sends in one round.
-Beacon WordOn(std::size_t endpoints, KeyRanges& ranges) {
+/// What a leader sends in one round that reports on \p endpoints endpoints, all
+/// loaded, and has as much in flight itself.
+Beacon ReportOn(std::size_t endpoints, KeyRanges& ranges) {
   constexpr std::uint32_t kSpread = 0x9e3779b1;
   constexpr std::size_t kInstances = 420;
   const std::string id(36, 'e');
   Beacon beacon = MakeBeacon("leader", 1);
-  for (std::size_t at = 0; at < endpoints; ++at) {
-    beacon.loads.push_back({id + std::to_string(at), 190, 70e6, 12});
+  for (std::size_t i = 0; i < endpoints; ++i) {
+    beacon.loads.push_back({id + std::to_string(i), 190, 70e6, 12});
     beacon.suspicions.push_back(
-        {id + std::to_string(at), milliseconds(2900), true});
+        {id + std::to_string(i), milliseconds(2900), true});
   }
   TrimToDatagram(beacon);
   beacon.covered_keys = ranges.Next(endpoints);
-  for (std::uint32_t at = 0; at < endpoints; ++at) {
-    const std::uint32_t key = at * kSpread;
+  for (std::uint32_t i = 0; i < endpoints; ++i) {
+    const std::uint32_t key = i * kSpread;
     if (!beacon.covered_keys.Contains(key)) continue;
     beacon.engine_statuses.push_back({key, {1000, 1080}, 12.5, 70e6});
     beacon.fleet_loads.push_back({key, 190, 70e6, 12});
@@ -91,42 +91,43 @@
   return beacon;
 }
 
-// Guards against a leader of thousands of endpoints that nobody hears, since
-// its word is larger than a datagram.
-BOOST_AUTO_TEST_CASE(WordOnThousandsOfEndpointsFitsADatagram) {
+// Guards against a leader of thousands of endpoints whose report is larger than
+// a datagram, so that nobody receives it.
+BOOST_AUTO_TEST_CASE(ReportOnThousandsOfEndpointsFitsADatagram) {
   constexpr std::size_t kLargestDatagram = 65507;
   for (const std::size_t endpoints : {800U, 3000U, 10000U}) {
     KeyRanges ranges;
     for (int round = 0; round < 20; ++round) {
-      BOOST_TEST(Encode(WordOn(endpoints, ranges)).size() <= kLargestDatagram);
+      BOOST_TEST(Encode(ReportOn(endpoints, ranges)).size() <=
+                 kLargestDatagram);
     }
   }
 }
 
-// Guards against endpoints of a large fleet that no message is about.
-BOOST_AUTO_TEST_CASE(PartsTellOfAllEndpointsByTurns) {
+// Guards against endpoints of a large fleet that no message covers.
+BOOST_AUTO_TEST_CASE(PartsCoverAllEndpointsInTurn) {
   constexpr std::size_t kEndpoints = 3000;
   KeyRanges ranges;
-  FleetLoads heard;
+  FleetLoads fleet_loads;
   for (int round = 0; round < 5; ++round) {
-    const Beacon word = WordOn(kEndpoints, ranges);
-    BOOST_TEST(word.covered_keys.Parts() == 5U);
-    heard.Update(word.covered_keys, word.fleet_loads);
+    const Beacon report = ReportOn(kEndpoints, ranges);
+    BOOST_TEST(report.covered_keys.Parts() == 5U);
+    fleet_loads.Update(report.covered_keys, report.fleet_loads);
   }
-  BOOST_TEST(heard.All().size() == kEndpoints);
+  BOOST_TEST(fleet_loads.All().size() == kEndpoints);
 }
 
 // Guards against a lost message after which the sums of loads are wrong: every
-// part stands alone, and says which endpoints have become idle.
-BOOST_AUTO_TEST_CASE(PartReplacesWhatItIsAboutAndNothingElse) {
+// part is complete in itself, and reports which endpoints have become idle.
+BOOST_AUTO_TEST_CASE(PartReplacesItsRangeAndNothingElse) {
   const KeyRange low{0, 99};
   const KeyRange high{100, 199};
-  FleetLoads heard;
-  heard.Update(low, {{1, 2, 3000, 1}, {50, 1, 1000, 0}});
-  heard.Update(high, {{150, 4, 5000, 2}});
-  heard.Update(low, {{50, 6, 7000, 3}});
+  FleetLoads fleet_loads;
+  fleet_loads.Update(low, {{1, 2, 3000, 1}, {50, 1, 1000, 0}});
+  fleet_loads.Update(high, {{150, 4, 5000, 2}});
+  fleet_loads.Update(low, {{50, 6, 7000, 3}});
   const std::vector<KeyedLoad> expected = {{50, 6, 7000, 3}, {150, 4, 5000, 2}};
-  BOOST_TEST((heard.All() == expected));
+  BOOST_TEST((fleet_loads.All() == expected));
 }
 
 BOOST_AUTO_TEST_CASE(FewEndpointsAreOnePart) {
@@ -143,47 +144,49 @@
 }
 
 // A datagram of a few bytes claims an array of more elements than there can be.
-// The router ended itself on it: the parser throws for that claim even where it
-// was told not to.
-BOOST_AUTO_TEST_CASE(ClaimOfAnExcessiveArrayIsNone) {
+// Guards against a router that terminates: the parser throws on such a length
+// even with exceptions disabled.
+BOOST_AUTO_TEST_CASE(ExcessiveArrayLengthIsRejected) {
   BOOST_TEST(!Decode("\x9b"
                      "aaaaaaaaaaa\x03")
                   .has_value());
 }
 
-BOOST_AUTO_TEST_CASE(CutBeaconIsNone) {
+BOOST_AUTO_TEST_CASE(TruncatedBeaconIsRejected) {
   const std::string whole = Encode(MakeBeacon("peer", 1));
   for (std::size_t size = 0; size < whole.size(); ++size) {
     BOOST_REQUIRE(!Decode(whole.substr(0, size)).has_value());
   }
 }
 
-// A peer read the configuration 300 ms before it answered. However long the
-// answer was under way, the proof counts from before the question.
-BOOST_AUTO_TEST_CASE(ProofCountsFromBeforeTheQuestion) {
+// A peer read the configuration 300 ms before it answered. Whatever the network
+// delay, the confirmation counts back from the moment at which the echoed
+// beacon was sent.
+BOOST_AUTO_TEST_CASE(ConfirmationCountsBackFromTheEchoedStamp) {
   PeerTable table("own");
-  table.OnBeacon("10.0.0.1:7", Vouching("own", 10000, 300), At(11000));
-  const auto proved = table.ConfigurationConfirmedAt(5, At(11000));
-  BOOST_REQUIRE(proved.has_value());
-  BOOST_TEST((*proved == At(9700)));
+  table.OnBeacon("10.0.0.1:7", ConfirmingBeacon("own", 10000, 300), At(11000));
+  const auto confirmed = table.ConfigurationConfirmedAt(5, At(11000));
+  BOOST_REQUIRE(confirmed.has_value());
+  BOOST_TEST((*confirmed == At(9700)));
   BOOST_TEST(!table.ConfigurationConfirmedAt(4, At(11000)).has_value());
 }
 
-// An instance lost power and started anew; its clock began at zero. A peer
-// still echoes a stamp of the clock before, which lies far in the future. If
-// it counted, the configuration would be taken as current for ever, nobody
-// would read the store again, and revoked keys would go on working.
-BOOST_AUTO_TEST_CASE(EchoOfAnEarlierStartProvesNothing) {
+// An instance lost power and restarted; its clock began at zero. A peer still
+// echoes a stamp of the previous clock, which lies far in the future. If it
+// counted, the configuration would count as current forever, nobody would read
+// the store again, and revoked keys would go on working.
+BOOST_AUTO_TEST_CASE(EchoOfAnEarlierStartConfirmsNothing) {
   PeerTable table("second-start");
-  table.OnBeacon("10.0.0.1:7", Vouching("first-start", 900000, 300), At(50));
+  table.OnBeacon("10.0.0.1:7", ConfirmingBeacon("first-start", 900000, 300),
+                 At(50));
   BOOST_TEST(!table.ConfigurationConfirmedAt(5, At(50)).has_value());
-  Beacon negative = Vouching("second-start", 40, -500000);
+  Beacon negative = ConfirmingBeacon("second-start", 40, -500000);
   negative.stamp += 1;
   table.OnBeacon("10.0.0.1:7", negative, At(60));
   BOOST_TEST(!table.ConfigurationConfirmedAt(5, At(60)).has_value());
 }
 
-// Guards against an outage that only this instance sees: a peer's word shows
+// Guards against an outage that only this instance sees: a peer's beacon shows
 // that the store answers, also with a list that isn't known here.
 BOOST_AUTO_TEST_CASE(PeerWithAnotherListShowsThatTheStoreAnswers) {
   PeerTable table("me");
@@ -197,8 +200,8 @@
   BOOST_TEST((table.StoreAnsweredAt(At(1200)) == At(700)));
 }
 
-// A beacon overtaken by a newer one must not bring the past back, but a peer
-// that started anew counts its clock from zero.
+// A beacon that arrives after a newer one must not restore older state, but the
+// clock of a peer that restarted begins at zero.
 BOOST_AUTO_TEST_CASE(OvertakenBeaconIsDropped) {
   PeerTable table("own");
   BOOST_TEST(table.OnBeacon("10.0.0.1:7", MakeBeacon("peer", 20), At(1)));
@@ -206,9 +209,9 @@
   BOOST_TEST(table.OnBeacon("10.0.0.1:7", MakeBeacon("anew", 1), At(3)));
 }
 
-// A peer that fell silent is not named to callers, but its share of common
-// budgets is kept for it: it may still work behind a cut.
-BOOST_AUTO_TEST_CASE(SilentPeerIsNotLiveButCounted) {
+// An unresponsive peer is not named to callers, but its share of common budgets
+// is retained: it may still work behind a network partition.
+BOOST_AUTO_TEST_CASE(UnresponsivePeerIsNotLiveButCounted) {
   PeerTable table("own");
   table.OnBeacon("10.0.0.1:7", MakeBeacon("peer", 20), At(0));
   BOOST_TEST(table.AllLive(At(1000)).size() == 1U);
@@ -218,9 +221,9 @@
   BOOST_TEST(table.Addresses(At(70000)).empty());
 }
 
-// A process has just started and has heard of one of the instances that the
-// store told it of. It must not take itself for one of two.
-BOOST_AUTO_TEST_CASE(InstanceIsCountedBeforeItIsHeardOf) {
+// A process has just started and has a beacon of one of the instances that the
+// store listed. It must not assume that there are only two.
+BOOST_AUTO_TEST_CASE(InstanceIsCountedBeforeItsFirstBeacon) {
   PeerTable table("own");
   table.AddAddress("10.0.0.1:7", At(0));
   table.AddAddress("10.0.0.2:7", At(0));
@@ -229,9 +232,10 @@
   BOOST_TEST(table.InstanceCount(At(60005)) == 2U);
 }
 
-// Whoever has not said that it has run for long may have started just now: one
-// that isn't heard of, one that fell silent, and one that says so.
-BOOST_AUTO_TEST_CASE(InstancesThatMayHaveStartedLately) {
+// A peer that doesn't report a long uptime may have just started: one that was
+// never contacted, one that is unresponsive, and one that reports a short
+// uptime.
+BOOST_AUTO_TEST_CASE(InstancesThatMayHaveStartedRecently) {
   constexpr Duration kLately = milliseconds(10000);
   PeerTable table("own");
   BOOST_TEST(table.StartedWithin(kLately, At(0)) == 1U);
@@ -254,82 +258,85 @@
 }
 
 /// The peers of one of \p size instances in five failure domains.
-BeaconTargets MakeAudience(int size) {
-  BeaconTargets audience;
+BeaconTargets MakeTargets(int size) {
+  BeaconTargets targets;
   for (const std::string& one : Addresses(size)) {
-    const bool near =
-        audience.same_domain.size() <= audience.other_domains.size() / 4;
-    (near ? audience.same_domain : audience.other_domains).push_back(one);
+    const bool add_to_same_domain =
+        targets.same_domain.size() <= targets.other_domains.size() / 4;
+    (add_to_same_domain ? targets.same_domain : targets.other_domains)
+        .push_back(one);
   }
-  audience.leader = audience.other_domains.back();
-  audience.backup_leaders = {audience.same_domain.back(),
-                             audience.other_domains.front()};
-  return audience;
+  targets.leader = targets.other_domains.back();
+  targets.backup_leaders = {targets.same_domain.back(),
+                            targets.other_domains.front()};
+  return targets;
 }
 
-// However large the fleet, an instance sends about as many messages a second as
-// a small one, everybody hears of everybody in its failure domain within the
-// time after which a peer is called silent, the leader hears of everybody in
-// every round, and its backup leaders in every second one.
-BOOST_AUTO_TEST_CASE(TalkDoesNotGrowWithTheFleet) {
+// Whatever the size of the fleet, an instance sends about as many messages a
+// second as in a small one, every peer in its failure domain gets a beacon
+// within the peer timeout, the leader one in every round, and the backup
+// leaders one in every second round.
+BOOST_AUTO_TEST_CASE(BeaconTrafficDoesNotGrowWithTheFleet) {
   for (const int size : {5, 85, 295, 420}) {
-    const BeaconTargets audience = MakeAudience(size);
-    BeaconSchedule rotation;
-    std::map<std::string, int> last_told;
+    const BeaconTargets targets = MakeTargets(size);
+    BeaconSchedule schedule;
+    std::map<std::string, int> last_sent_round;
     std::size_t sent = 0;
-    const Duration silence = rotation.PeerTimeout(audience.same_domain.size());
+    const Duration peer_timeout =
+        schedule.PeerTimeout(targets.same_domain.size());
     const int rounds =
-        static_cast<int>(silence.count() / rotation.Period().count());
+        static_cast<int>(peer_timeout.count() / schedule.Period().count());
     for (int round = 0; round < rounds; ++round) {
-      const auto chosen = rotation.Next(audience);
+      const auto chosen = schedule.Next(targets);
       BOOST_REQUIRE(chosen.size() <= 16U);
-      BOOST_REQUIRE(std::count(chosen.begin(), chosen.end(), audience.leader) ==
+      BOOST_REQUIRE(std::count(chosen.begin(), chosen.end(), targets.leader) ==
                     1);
-      for (const std::string& backup_leader : audience.backup_leaders) {
-        const bool told = std::find(chosen.begin(), chosen.end(),
-                                    backup_leader) != chosen.end();
-        BOOST_REQUIRE((told || round % 2 == 0));
+      for (const std::string& backup_leader : targets.backup_leaders) {
+        const bool sent_to_backup = std::find(chosen.begin(), chosen.end(),
+                                              backup_leader) != chosen.end();
+        BOOST_REQUIRE((sent_to_backup || round % 2 == 0));
       }
       sent += chosen.size();
-      for (const std::string& one : chosen) last_told[one] = round;
+      for (const std::string& one : chosen) last_sent_round[one] = round;
     }
-    for (const std::string& one : audience.same_domain) {
-      BOOST_REQUIRE(last_told.contains(one));
+    for (const std::string& one : targets.same_domain) {
+      BOOST_REQUIRE(last_sent_round.contains(one));
     }
     BOOST_TEST(sent <= static_cast<std::size_t>(rounds) * 16);
   }
 }
 
-// Domains that have lost the leader and one another find together again.
-BOOST_AUTO_TEST_CASE(EveryOtherDomainIsToldByTurns) {
-  const BeaconTargets audience = MakeAudience(85);
-  BeaconSchedule rotation;
-  std::set<std::string> told;
-  for (std::size_t round = 0; round < 4 * audience.other_domains.size();
+// Domains that have lost the leader and one another get in contact again.
+BOOST_AUTO_TEST_CASE(EveryOtherDomainGetsBeaconsInTurn) {
+  const BeaconTargets targets = MakeTargets(85);
+  BeaconSchedule schedule;
+  std::set<std::string> receivers;
+  for (std::size_t round = 0; round < 4 * targets.other_domains.size();
        ++round) {
-    for (const std::string& one : rotation.Next(audience)) told.insert(one);
+    for (const std::string& one : schedule.Next(targets)) receivers.insert(one);
   }
-  for (const std::string& one : audience.other_domains)
-    BOOST_TEST(told.contains(one));
+  for (const std::string& one : targets.other_domains)
+    BOOST_TEST(receivers.contains(one));
 }
 
-BOOST_AUTO_TEST_CASE(HubTellsEverybodyInEverySecondRound) {
-  BeaconTargets audience = MakeAudience(85);
-  audience.is_coordinator = true;
-  BeaconSchedule rotation;
+BOOST_AUTO_TEST_CASE(CoordinatorBroadcastsInEverySecondRound) {
+  BeaconTargets targets = MakeTargets(85);
+  targets.is_coordinator = true;
+  BeaconSchedule schedule;
   int whole = 0;
   for (int round = 0; round < 10; ++round) {
-    const std::size_t told = rotation.Next(audience).size();
-    if (told == 85U) ++whole;
-    BOOST_TEST(rotation.LastRoundWasBroadcast() == (told == 85U));
-    BOOST_TEST((told == 85U || told == 1 + audience.backup_leaders.size()));
+    const std::size_t receiver_count = schedule.Next(targets).size();
+    if (receiver_count == 85U) ++whole;
+    BOOST_TEST(schedule.LastRoundWasBroadcast() == (receiver_count == 85U));
+    BOOST_TEST((receiver_count == 85U ||
+                receiver_count == 1 + targets.backup_leaders.size()));
   }
   BOOST_TEST(whole == 5);
 }
 
 // Guards against a large fleet that serves nothing for seconds after all its
-// processes were killed, since each asks the store for all of its lists: the
-// few strong ones read, and the others only if nobody has told them.
+// processes were killed, because each reads all lists from the store: the few
+// strong ones read, the others only if they get no copy.
 BOOST_AUTO_TEST_CASE(FewReadWhenAllStartAtOnce) {
   constexpr std::size_t kInstances = 300;
   constexpr std::size_t kStrong = 15;
@@ -344,7 +351,7 @@
   };
   BOOST_TEST(reading(At(0)) == kStrong);
   BOOST_TEST(reading(At(999)) == kStrong);
-  // Where all strong ones are gone, one of the others is soon the first.
+  // If all strong ones are missing, one of the others soon reads first.
   BOOST_TEST(reading(At(1500)) > kStrong);
   BOOST_TEST(reading(At(2000)) < kInstances / 4);
   BOOST_TEST(reading(At(9000)) == kInstances);
@@ -357,24 +364,24 @@
 }
 
 // The holder of the lease lost the store, and 86 instances asked for the lease
-// at the same moment: hundreds of calls for one winner. The strongest try
-// first, and the others only if none of them could.
-BOOST_AUTO_TEST_CASE(FewTryForAVacantLeadership) {
+// at the same moment: hundreds of calls for one winner. The strongest attempt
+// first, the others only if none of those succeeds.
+BOOST_AUTO_TEST_CASE(FewAttemptAVacantLeadershipAtOnce) {
   constexpr std::size_t kInstances = 86;
-  std::size_t at_once = 0;
-  std::size_t in_the_end = 0;
+  std::size_t immediately = 0;
+  std::size_t eventually = 0;
   for (std::size_t ahead = 0; ahead < kInstances; ++ahead) {
     ElectionPolicy one(0.5, At(0));
     BOOST_TEST(!one.MayAttempt(false, ahead, At(9000)));
-    if (one.MayAttempt(true, ahead, At(10000))) ++at_once;
-    if (one.MayAttempt(true, ahead, At(13000))) ++in_the_end;
+    if (one.MayAttempt(true, ahead, At(10000))) ++immediately;
+    if (one.MayAttempt(true, ahead, At(13000))) ++eventually;
   }
-  BOOST_TEST(at_once == ElectionSettings().at_once);
-  BOOST_TEST(in_the_end == kInstances);
+  BOOST_TEST(immediately == ElectionSettings().concurrent_candidates);
+  BOOST_TEST(eventually == kInstances);
 }
 
-// All processes start at once and none has heard of another. A weak one that
-// took the lease would spend its processor on it for the rest of the day.
+// All processes start at the same time and have no beacons yet. A weak one that
+// took the lease would spend its processor time on it from then on.
 BOOST_AUTO_TEST_CASE(WeakInstanceLetsStrongOnesGoFirstAtStart) {
   ElectionPolicy weak(0.12, At(0));
   BOOST_TEST(!weak.MayAttempt(true, 0, At(900)));
@@ -398,10 +405,10 @@
   BOOST_TEST(table.CandidatesAhead(0.12, "10.0.0.5:80", At(9000)) == 0U);
 }
 
-// Guards against a leader and its backup leaders that fall together with one
-// failure domain, and against a weak backup leader that spends its processor on
-// talk.
-BOOST_AUTO_TEST_CASE(DeputiesAreStrongAndInOtherDomains) {
+// Guards against a leader and its backup leaders that fail together with one
+// failure domain, and against a weak backup leader that spends its processor
+// time on gossip.
+BOOST_AUTO_TEST_CASE(BackupLeadersAreStrongAndInOtherDomains) {
   PeerTable table("own");
   int at = 0;
   for (const char* domain : {"a", "a", "b", "b", "c"}) {
@@ -418,9 +425,9 @@
   BOOST_TEST(ChooseBackupLeaders(table, "a", At(9000)).empty());
 }
 
-// Guards against a fleet that knows nothing of its engines while nobody leads,
-// and against several that ask them all.
-BOOST_AUTO_TEST_CASE(FirstLiveDeputyActsForTheLeader) {
+// Guards against a fleet without state of its engines while there is no leader,
+// and against several instances that request it from all engines.
+BOOST_AUTO_TEST_CASE(FirstLiveBackupLeaderActsForTheLeader) {
   PeerTable table("own");
   const std::vector<std::string> backup_leaders = {"10.0.0.1:7", "10.0.0.2:7"};
   BOOST_TEST(ActsForLeader(table, backup_leaders, "10.0.0.1:7", At(0)));
@@ -437,7 +444,7 @@
 
 // Guards against an instance that takes its own failed reads for an outage of
 // the store, and uses an endpoint for seconds after it has left.
-BOOST_AUTO_TEST_CASE(HubThatHasReadLatelyShowsThatTheStoreIsUp) {
+BOOST_AUTO_TEST_CASE(CoordinatorThatHasReadLatelyShowsThatTheStoreIsUp) {
   PeerTable table("own");
   BOOST_CHECK(!table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(0)));
   Beacon beacon = MakeBeacon("leader", 1);
@@ -454,8 +461,8 @@
   BOOST_CHECK(!table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(1600)));
 }
 
-// Where there is one failure domain only, backup leaders are in it too.
-BOOST_AUTO_TEST_CASE(DeputiesOfOneDomain) {
+// With only one failure domain, the backup leaders are in it too.
+BOOST_AUTO_TEST_CASE(BackupLeadersOfOneDomain) {
   PeerTable table("own");
   for (const char* address : {"10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"}) {
     table.OnBeacon(address, MakeBeacon(address, 1), At(0));
@@ -463,10 +470,9 @@
   BOOST_TEST(ChooseBackupLeaders(table, "", At(100)).size() == kBackupLeaders);
 }
 
-// Guards against callers that are sent for half a minute to an instance which
-// has gone: the leader's word counts for a moment, and an empty one for
-// nothing.
-BOOST_AUTO_TEST_CASE(RosterCountsForAMoment) {
+// Guards against callers that are sent to a dead instance for half a minute:
+// the leader's report counts for a short time, and an empty one is ignored.
+BOOST_AUTO_TEST_CASE(ReadyInstanceListExpires) {
   ReadyInstanceList ready_list;
   ready_list.Update({}, At(0));
   BOOST_TEST(!ready_list.IsCurrent(At(0)));
@@ -483,9 +489,9 @@
   BOOST_TEST(!IpNumber("nowhere:1").has_value());
 }
 
-// A leader that has fallen silent is looked for again sooner than any other
-// peer of a large fleet, whose turn comes seldom.
-BOOST_AUTO_TEST_CASE(SilentLeaderIsNoLeader) {
+// An unresponsive leader is replaced sooner than any other peer of a large
+// fleet times out, since those send only in turn.
+BOOST_AUTO_TEST_CASE(UnresponsiveLeaderIsNoLeader) {
   PeerTable table("own");
   table.SetPeerTimeout(milliseconds(20000));
   Beacon beacon = MakeBeacon("leader", 1);
@@ -496,9 +502,9 @@
   BOOST_TEST(table.AllLive(At(1501)).size() == 1U);
 }
 
-// An instance of a large fleet talks to its own failure domain; one of which
-// only the address is known may be in it.
-BOOST_AUTO_TEST_CASE(NearPeersAreThoseOfTheOwnDomain) {
+// An instance of a large fleet sends mainly to its own failure domain; a peer
+// of which only the address is known may be in it.
+BOOST_AUTO_TEST_CASE(PeersAreGroupedByFailureDomain) {
   PeerTable table("own");
   Beacon beacon = MakeBeacon("near", 1);
   beacon.failure_domain = "a";
@@ -507,8 +513,8 @@
   beacon.failure_domain = "b";
   table.OnBeacon("10.0.0.2:7", beacon, At(0));
   table.AddAddress("10.0.0.3:7", At(0));
-  const std::vector<std::string> near = {"10.0.0.1:7", "10.0.0.3:7"};
-  BOOST_TEST(table.AddressesInDomain("a", At(0)) == near,
+  const std::vector<std::string> same_domain = {"10.0.0.1:7", "10.0.0.3:7"};
+  BOOST_TEST(table.AddressesInDomain("a", At(0)) == same_domain,
              boost::test_tools::per_element());
   BOOST_TEST(table.AddressesInOtherDomains("a", At(0)).size() == 1U);
 }
