--- a/include/toucanwharf/endpoints/liveness_evidence.h
+++ b/include/toucanwharf/endpoints/liveness_evidence.h
@@ -8,7 +8,7 @@
 
 namespace toucanwharf::endpoints {
 
-/// What an answer under way shows of the engines that it runs through.
+/// What an answer in flight shows about the engines on its path.
 struct LivenessEvidence {
   std::vector<pipeline::Stage> stages;
   TimePoint last_event;
@@ -17,14 +17,14 @@
                          const LivenessEvidence&) = default;
 };
 
-/// Returns the engines of \p stages that no answer of \p others shows alive: an
-/// event that came at \p since or later went through all engines of its path.
+/// Returns the engines of \p stages for which no answer of \p others is
+/// evidence of liveness: an event that came at \p since or later passed all
+/// engines of its path.
 ///
-/// Load that it answers: one engine of a path dies, and all answers of the
-/// router stop that run through it. Asking each engine of each path would cost
-/// ten questions an answer, and a lost packet on the way to a healthy one would
-/// make it look dead; those that other answers still pass need no question.
-/// Thread safety: safe.
+/// Load: one engine of a path dies, and all answers of the router on that path
+/// stall. Probing each engine of each path would cost ten probes an answer, and
+/// a lost packet on the way to a healthy engine would make it look dead;
+/// engines that other answers still pass need no probe. Thread safety: safe.
 std::vector<pipeline::Stage> EnginesWithoutEvidence(
     const std::vector<pipeline::Stage>& stages, TimePoint since,
     const std::vector<LivenessEvidence>& others);
--- a/include/toucanwharf/endpoints/load_tracker.h
+++ b/include/toucanwharf/endpoints/load_tracker.h
@@ -12,104 +12,107 @@
 
 namespace toucanwharf::endpoints {
 
-/// What is under way at each endpoint, which endpoints are suspected to be
-/// dead, and what engines last said of themselves.
-/// Thread safety: none; for one thread.
+/// Tracks what is in flight at each endpoint, which endpoints are suspected to
+/// be dead, and the last status of each engine. Thread safety: none; for one
+/// thread.
 class LoadTracker {
  public:
-  /// Counts \p load as under way.
+  /// Adds \p load to what this instance has in flight.
   void AddInFlight(const gossip::EndpointLoad& load);
-  /// Takes off what AddInFlight counted.
+  /// Removes what AddInFlight added.
   void RemoveInFlight(const gossip::EndpointLoad& load);
-  /// Returns this instance's own loads, without the idle.
+  /// Returns this instance's loads, without idle endpoints.
   std::vector<gossip::EndpointLoad> Local() const;
-  /// Replaces what the other instances have under way.
+  /// Replaces what the other instances have in flight.
   void SetPeerLoads(const std::vector<gossip::EndpointLoad>& loads);
-  /// The same, from what all instances together, this one included, have under
-  /// way: the own part is taken off.
+  /// The same, from what all instances together, this one included, have in
+  /// flight: this instance's part is subtracted.
   void SetFleetLoads(const std::vector<gossip::EndpointLoad>& loads);
-  /// Returns what all instances together have under way, without the idle.
+  /// Returns what all instances together have in flight, without idle
+  /// endpoints.
   std::vector<gossip::EndpointLoad> All() const;
-  /// Returns what all instances together have under way at \p endpoint.
+  /// Returns what all instances together have in flight at \p endpoint.
   gossip::EndpointLoad Total(const std::string& endpoint) const;
 
-  /// Takes \p count other instances as loaded like this one, where that is
-  /// more than what is known of them; 0 to go by what is known.
+  /// Assumes that \p count other instances are loaded like this one, where that
+  /// is more than their known load; 0 to use the known load.
   ///
   /// Failure guarded against: an instance that is cut off from the others goes
-  /// on with what it last heard of their loads, from a calmer moment, and sends
-  /// its requests to engines that are full. What callers send is spread over
-  /// all instances alike, so its own part tells what the others' must be.
-  void AssumeEqualPeerLoad(std::size_t count) { this->unheard = count; }
+  /// on with their last reported loads, from a moment of less load, and sends
+  /// its requests to engines that are full. Callers spread their requests
+  /// evenly over all instances, so the local load is an estimate of the
+  /// others'.
+  void AssumeEqualPeerLoad(std::size_t count) { this->assumed_peers = count; }
 
-  /// Notes that \p endpoint refused a request, and keeps new work from it:
-  /// for a moment and without telling the others if it is full, as far as is
-  /// known, for longer and in all instances if not.
+  /// Records that \p endpoint refused a request, and keeps new work from it: if
+  /// it is known to be full, for a short time and at this instance only;
+  /// otherwise for longer and at all instances.
   ///
-  /// Failure guarded against: an engine that is dead, or that says that it is
-  /// well and isn't, refuses whatever comes, and each of 86 instances learns so
-  /// by requests of its own, which cost their callers time and the endpoints'
-  /// budget: 350 refusals by one dead engine in two seconds. Each refusal in a
-  /// row doubles the pause.
+  /// Failure guarded against: an engine that is dead, or that wrongly reports
+  /// itself as healthy, refuses every request, and each of 86 instances detects
+  /// that with requests of its own, which cost their callers time and the
+  /// endpoints' budget: 350 refusals by one dead engine in two seconds. Each
+  /// consecutive refusal doubles the pause.
   void OnRefusal(const std::string& endpoint, bool full, TimePoint now);
   /// Keeps new work from \p endpoint until \p until.
   void Suspect(const std::string& endpoint, TimePoint until);
   bool IsSuspected(const std::string& endpoint, TimePoint now) const;
-  /// The same for an endpoint that answers nothing at all, as this instance has
-  /// found, so that answers under way through it have stopped. Returns whether
-  /// that is news.
+  /// The same for an endpoint that this instance found not to respond at all,
+  /// so that answers in flight through it have stalled. Returns whether the
+  /// endpoint was not yet known as unresponsive.
   bool MarkUnresponsive(const std::string& endpoint, TimePoint until,
                         TimePoint now);
-  /// The same by the word of another instance, which doesn't count beside an
-  /// answer that this one got itself a moment ago.
+  /// The same for an endpoint that another instance reports as unresponsive.
+  /// Ignored if this instance got a response from it a moment ago.
   bool MarkReportedUnresponsive(const std::string& endpoint, TimePoint until,
                                 TimePoint now);
   bool IsUnresponsive(const std::string& endpoint, TimePoint now) const;
-  /// Notes that \p endpoint has answered this instance.
+  /// Records that \p endpoint has responded to this instance.
   void OnResponse(const std::string& endpoint, TimePoint now);
-  /// Returns the suspicions that still hold. Of silent endpoints those that
-  /// this instance has found, or \p heard_too.
+  /// Returns the suspicions that still hold: of unresponsive endpoints those
+  /// that this instance found, and with \p include_reported also those that
+  /// others reported.
   ///
-  /// Failure guarded against: instances that pass on what they heard keep a
+  /// Failure guarded against: instances that pass on reports of others keep a
   /// suspicion alive among themselves, each message making it a little longer,
   /// and a whole fleet avoids an engine that has been back for seconds.
   std::vector<gossip::Suspicion> Suspicions(TimePoint now,
-                                            bool heard_too) const;
+                                            bool include_reported) const;
 
-  /// Notes a report of an engine; it goes before the store's list until
-  /// \p until.
-  void SetEngineStatus(const gossip::EngineStatus& fact, TimePoint until);
-  /// Returns the report of \p endpoint that still counts, or null.
+  /// Records an engine's reported status, which takes precedence over the
+  /// store's list until \p until.
+  void SetEngineStatus(const gossip::EngineStatus& status, TimePoint until);
+  /// Returns the reported status of \p endpoint that is still valid, or null.
   const gossip::EngineStatus* FindEngineStatus(const Endpoint& endpoint,
                                                TimePoint now) const;
 
-  /// Returns \p endpoint as the path finder sees it.
+  /// Returns \p endpoint as input of the path finder.
   placement::Engine ToEngine(const Endpoint& endpoint, TimePoint now) const;
 
  private:
-  struct TimedFact {
-    gossip::EngineStatus fact;
+  struct TimedStatus {
+    gossip::EngineStatus status;
     TimePoint until;
   };
   struct Refusals {
-    int in_row = 0;
+    int consecutive = 0;
     TimePoint paused_until;
   };
   using Loads = std::map<std::string, gossip::EndpointLoad>;
 
-  Loads own;
+  Loads local;
   Loads peers;
-  std::size_t unheard = 0;
+  std::size_t assumed_peers = 0;
   std::map<std::string, TimePoint> suspected;
-  /// Silent endpoints, by whose word ever.
-  std::map<std::string, TimePoint> silent_until;
-  /// Those that this instance has found.
-  std::map<std::string, TimePoint> found_silent_until;
+  /// Unresponsive endpoints, found by any instance.
+  std::map<std::string, TimePoint> unresponsive_until;
+  /// Unresponsive endpoints that this instance found.
+  std::map<std::string, TimePoint> found_unresponsive_until;
   std::map<std::string, TimePoint> answered_at;
-  /// Pauses that the other instances aren't told of.
+  /// Pauses that are not announced to other instances.
   std::map<std::string, TimePoint> full_until;
   std::map<std::string, Refusals> refusals;
-  std::map<std::string, TimedFact> facts;
+  std::map<std::string, TimedStatus> statuses;
 };
 
 }  // namespace toucanwharf::endpoints
--- a/lib/endpoints/endpoint_table.cc
+++ b/lib/endpoints/endpoint_table.cc
@@ -10,9 +10,9 @@
 
 std::map<std::string, Endpoint> IndexById(std::vector<Endpoint> endpoints) {
   std::map<std::string, Endpoint> all;
-  for (Endpoint& one : endpoints) {
-    std::string id = one.id;
-    all.emplace(std::move(id), std::move(one));
+  for (Endpoint& endpoint : endpoints) {
+    std::string id = endpoint.id;
+    all.emplace(std::move(id), std::move(endpoint));
   }
   return all;
 }
@@ -28,8 +28,8 @@
 void EndpointTable::SetInUse(ById next) {
   this->by_id = std::move(next);
   this->ids_by_key.clear();
-  for (const auto& [id, one] : this->by_id) {
-    this->ids_by_key.emplace(EndpointKey(one), id);
+  for (const auto& [id, endpoint] : this->by_id) {
+    this->ids_by_key.emplace(EndpointKey(endpoint), id);
   }
 }
 
@@ -39,25 +39,25 @@
 }
 
 void EndpointTable::OnStoreAnswered(TimePoint read, TimePoint now) {
-  const auto before = std::exchange(
+  const auto previous = std::exchange(
       this->answered_at, std::max(this->answered_at.value_or(read), read));
-  if (!this->away_since) return;
-  // A read of this instance that failed may have been begun before the one that
-  // was answered, and have ended after it.
-  if (read >= *this->away_since) this->away_since.reset();
-  const bool outage = !before || read - *before >= this->shortest_outage;
-  if (outage) this->kept_until = now + this->outage_grace;
+  if (!this->last_unavailable_at) return;
+  // A failed read of this instance may have started before the answered one and
+  // ended after it.
+  if (read >= *this->last_unavailable_at) this->last_unavailable_at.reset();
+  const bool outage = !previous || read - *previous >= this->min_outage;
+  if (outage) this->retain_until = now + this->outage_grace;
 }
 
-void EndpointTable::NoteRead(TimePoint read, TimePoint now) {
+void EndpointTable::RecordRead(TimePoint read, TimePoint now) {
   this->OnStoreAnswered(read, now);
   this->confirmed_at = std::max(this->confirmed_at.value_or(read), read);
 }
 
 bool EndpointTable::Confirm(TimePoint read, TimePoint now) {
-  this->NoteRead(read, now);
-  if (this->kept.empty() || this->KeepsMissing()) return false;
-  this->kept.clear();
+  this->RecordRead(read, now);
+  if (this->retained.empty() || this->RetainsMissing()) return false;
+  this->retained.clear();
   this->SetInUse(this->listed);
   return true;
 }
@@ -65,33 +65,34 @@
 bool EndpointTable::Replace(std::vector<Endpoint> listed,
                             std::uint64_t revision, TimePoint read,
                             TimePoint now) {
-  this->NoteRead(read, now);
+  this->RecordRead(read, now);
   if (revision < this->last_revision) return false;
-  return this->Use(IndexById(std::move(listed)), this->by_id, revision);
+  return this->ApplyList(IndexById(std::move(listed)), this->by_id, revision);
 }
 
 bool EndpointTable::Adopt(EndpointListSnapshot list, TimePoint now) {
   if (list.revision < this->last_revision) return false;
-  const bool peer_keeps = list.retained_for > Duration(0);
-  if (peer_keeps && !this->KeepsMissing()) {
-    this->kept_until = now + list.retained_for;
+  const bool peer_retains = list.retained_for > Duration(0);
+  if (peer_retains && !this->RetainsMissing()) {
+    this->retain_until = now + list.retained_for;
   }
   auto known = this->by_id;
   known.merge(IndexById(std::move(list.retained)));
-  return this->Use(IndexById(std::move(list.endpoints)), known, list.revision);
+  return this->ApplyList(IndexById(std::move(list.endpoints)), known,
+                         list.revision);
 }
 
-bool EndpointTable::Use(std::map<std::string, Endpoint> next,
-                        const std::map<std::string, Endpoint>& known,
-                        std::uint64_t revision) {
+bool EndpointTable::ApplyList(std::map<std::string, Endpoint> next,
+                              const std::map<std::string, Endpoint>& known,
+                              std::uint64_t revision) {
   const bool new_list = next != this->listed || this->changed_revision == 0;
   if (new_list) this->changed_revision = revision;
   this->last_revision = revision;
   this->listed = next;
-  this->kept.clear();
-  if (this->KeepsMissing()) {
-    for (const auto& [id, one] : known) {
-      if (next.emplace(id, one).second) this->kept.insert(id);
+  this->retained.clear();
+  if (this->RetainsMissing()) {
+    for (const auto& [id, endpoint] : known) {
+      if (next.emplace(id, endpoint).second) this->retained.insert(id);
     }
   }
   const bool in_use_changed = next != this->by_id;
@@ -101,13 +102,13 @@
 
 EndpointListSnapshot EndpointTable::Share(TimePoint now) const {
   EndpointListSnapshot list;
-  for (const auto& [id, one] : this->by_id) {
-    auto& into = this->kept.contains(id) ? list.retained : list.endpoints;
-    into.push_back(one);
+  for (const auto& [id, endpoint] : this->by_id) {
+    auto& into = this->retained.contains(id) ? list.retained : list.endpoints;
+    into.push_back(endpoint);
   }
-  list.retained_for = this->OutageGoesOn()
+  list.retained_for = this->IsOutageInProgress()
                           ? this->outage_grace
-                          : std::max(Duration(0), this->kept_until - now);
+                          : std::max(Duration(0), this->retain_until - now);
   list.revision = this->changed_revision;
   return list;
 }
@@ -120,10 +121,10 @@
 void EndpointTable::ForEachReady(
     const std::string& service,
     const std::function<void(const Endpoint&)>& visit) const {
-  for (const auto& [id, one] : this->by_id) {
-    if (one.service != service) continue;
-    if (one.state != EndpointState::kReady) continue;
-    visit(one);
+  for (const auto& [id, endpoint] : this->by_id) {
+    if (endpoint.service != service) continue;
+    if (endpoint.state != EndpointState::kReady) continue;
+    visit(endpoint);
   }
 }
 
--- a/lib/endpoints/liveness_evidence.cc
+++ b/lib/endpoints/liveness_evidence.cc
@@ -15,11 +15,11 @@
       alive.insert(stage.endpoint);
     }
   }
-  std::vector<pipeline::Stage> doubted;
+  std::vector<pipeline::Stage> without_evidence;
   for (const pipeline::Stage& stage : stages) {
-    if (!alive.contains(stage.endpoint)) doubted.push_back(stage);
+    if (!alive.contains(stage.endpoint)) without_evidence.push_back(stage);
   }
-  return doubted;
+  return without_evidence;
 }
 
 }  // namespace toucanwharf::endpoints
--- a/unittests/endpoints/endpoints_test.cc
+++ b/unittests/endpoints/endpoints_test.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kGrace = milliseconds(2000);
-constexpr Duration kShortestOutage = milliseconds(2400);
+constexpr Duration kMinOutage = milliseconds(2400);
 
 TimePoint At(int millis) { return TimePoint{milliseconds(millis)}; }
 
@@ -24,75 +24,76 @@
   return endpoint;
 }
 
-std::size_t Ready(const EndpointTable& table) {
+std::size_t ReadyCount(const EndpointTable& table) {
   std::size_t count = 0;
   table.ForEachReady("service", [&](const Endpoint&) { ++count; });
   return count;
 }
 
-/// Puts the list that a read of \p at shows into \p table.
-bool List(EndpointTable& table, std::vector<Endpoint> listed,
-          std::uint64_t revision, TimePoint at) {
+/// Applies to \p table the list that a read at \p at returned.
+bool ApplyList(EndpointTable& table, std::vector<Endpoint> listed,
+               std::uint64_t revision, TimePoint at) {
   return table.Replace(std::move(listed), revision, at, at);
 }
 
-// The store is away for some seconds, and the entries of all endpoints run out
-// meanwhile. When it returns its list is empty. A router that believed it would
-// refuse everything, though every endpoint lives.
-BOOST_AUTO_TEST_CASE(EntriesThatLapsedInAnOutageAreKept) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// The store is unavailable for some seconds, and the entries of all endpoints
+// expire meanwhile. When it returns its list is empty. A router that applied
+// that list would refuse everything, though every endpoint is alive.
+BOOST_AUTO_TEST_CASE(EntriesThatExpiredInAnOutageAreRetained) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
-  List(table, {}, 20, At(5000));
-  BOOST_TEST(Ready(table) == 2U);
+  ApplyList(table, {}, 20, At(5000));
+  BOOST_TEST(ReadyCount(table) == 2U);
   BOOST_TEST(table.RetainedCount() == 2U);
-  List(table, {MakeEndpoint("one")}, 30, At(6000));
-  BOOST_TEST(Ready(table) == 2U);
-  List(table, {MakeEndpoint("one")}, 31, At(7100));
-  BOOST_TEST(Ready(table) == 1U);
+  ApplyList(table, {MakeEndpoint("one")}, 30, At(6000));
+  BOOST_TEST(ReadyCount(table) == 2U);
+  ApplyList(table, {MakeEndpoint("one")}, 31, At(7100));
+  BOOST_TEST(ReadyCount(table) == 1U);
 }
 
-// The same, and nobody hands this instance another list after the first one,
-// but a peer's word that it is still the same: what is missing is gone when the
-// time is over.
-BOOST_AUTO_TEST_CASE(GraceIsOverWithoutANewList) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// The same, and this instance gets no other list after the first one, but a
+// peer's confirmation that it is unchanged: endpoints that are missing are
+// dropped when the grace period is over.
+BOOST_AUTO_TEST_CASE(GracePeriodEndsWithoutANewList) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
-  List(table, {MakeEndpoint("one")}, 20, At(5000));
+  ApplyList(table, {MakeEndpoint("one")}, 20, At(5000));
   BOOST_TEST(!table.Confirm(At(6900), At(7100)));
-  BOOST_TEST(Ready(table) == 2U);
+  BOOST_TEST(ReadyCount(table) == 2U);
   BOOST_TEST(table.Confirm(At(7000), At(7200)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ReadyCount(table) == 1U);
   BOOST_TEST(table.RetainedCount() == 0U);
 }
 
 // An instance reads once right after an outage, when most entries are missing,
-// and goes by its peers' word from then on. Entries that come back are news to
-// the others: or it would drop living endpoints when the time is over.
+// and relies on its peers' confirmations from then on. Entries that come back
+// must count as a change for the others, or this instance drops live endpoints
+// when the grace period is over.
 BOOST_AUTO_TEST_CASE(EntriesThatComeBackAreAChangeOfTheList) {
-  EndpointTable reader(kGrace, kShortestOutage);
-  EndpointTable table(kGrace, kShortestOutage);
+  EndpointTable reader(kGrace, kMinOutage);
+  EndpointTable table(kGrace, kMinOutage);
   for (EndpointTable* one : {&reader, &table}) {
-    List(*one, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+    ApplyList(*one, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
     one->OnStoreUnavailable(At(1000));
-    List(*one, {MakeEndpoint("one")}, 20, At(5000));
+    ApplyList(*one, {MakeEndpoint("one")}, 20, At(5000));
   }
   const auto both = {MakeEndpoint("one"), MakeEndpoint("two")};
-  BOOST_TEST(List(reader, both, 30, At(5600)));
+  BOOST_TEST(ApplyList(reader, both, 30, At(5600)));
   BOOST_REQUIRE(reader.ChangedRevision() > table.Revision());
   table.Adopt(reader.Share(At(5700)), At(5700));
   BOOST_TEST(!table.Confirm(At(7000), At(7200)));
-  BOOST_TEST(Ready(table) == 2U);
+  BOOST_TEST(ReadyCount(table) == 2U);
 }
 
-// The store is away, and after its return another instance reads for this one,
-// whose list doesn't change. Seconds later an endpoint leaves and its entry is
-// gone. Callers were still led to it for two seconds, because the first list
-// after the outage was taken as the store's return (I5).
-BOOST_AUTO_TEST_CASE(GraceCountsFromTheReturnThatAPeerSaw) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// The store is unavailable, and after its return another instance reads for
+// this one, whose list doesn't change. Seconds later an endpoint leaves and its
+// entry is removed. If the first list after the outage counted as the store's
+// return, callers would be sent to that endpoint for two more seconds (I5).
+BOOST_AUTO_TEST_CASE(GracePeriodStartsAtTheReturnThatAPeerSaw) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   table.Confirm(At(5000), At(5250));
   table.Confirm(At(7500), At(7700));
@@ -100,81 +101,83 @@
   list.endpoints = {MakeEndpoint("one")};
   list.revision = 20;
   BOOST_TEST(table.Adopt(list, At(8000)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ReadyCount(table) == 1U);
 }
 
-// A peer's word from before the outage doesn't end it.
-BOOST_AUTO_TEST_CASE(ProofOfBeforeTheOutageDoesNotBeginTheGrace) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one")}, 10, At(0));
+// A peer's confirmation from before the outage doesn't end it.
+BOOST_AUTO_TEST_CASE(
+    ConfirmationFromBeforeTheOutageDoesNotStartTheGracePeriod) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   table.Confirm(At(900), At(1100));
-  List(table, {}, 20, At(5000));
-  BOOST_TEST(Ready(table) == 1U);
+  ApplyList(table, {}, 20, At(5000));
+  BOOST_TEST(ReadyCount(table) == 1U);
 }
 
 // An instance starts right after an outage and takes its list from a peer that
-// keeps entries. It keeps them as long as the peer, no longer.
-BOOST_AUTO_TEST_CASE(GraceOfAPeerGoesOnHere) {
-  EndpointTable reader(kGrace, kShortestOutage);
-  List(reader, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// retains entries. It retains them as long as the peer, no longer.
+BOOST_AUTO_TEST_CASE(GracePeriodOfAPeerContinuesHere) {
+  EndpointTable reader(kGrace, kMinOutage);
+  ApplyList(reader, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   reader.OnStoreUnavailable(At(1000));
-  List(reader, {MakeEndpoint("one")}, 20, At(5000));
-  EndpointTable table(kGrace, kShortestOutage);
+  ApplyList(reader, {MakeEndpoint("one")}, 20, At(5000));
+  EndpointTable table(kGrace, kMinOutage);
   table.Adopt(reader.Share(At(5500)), At(5500));
-  BOOST_TEST(Ready(table) == 2U);
+  BOOST_TEST(ReadyCount(table) == 2U);
   BOOST_TEST(table.RetainedCount() == 1U);
   BOOST_TEST(!table.Confirm(At(6999), At(7100)));
   BOOST_TEST(table.Confirm(At(7000), At(7200)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ReadyCount(table) == 1U);
 }
 
-// The reader lost its memory in the outage and knows of nobody whose entry has
-// run out. The others must not drop those endpoints with its list.
-BOOST_AUTO_TEST_CASE(ListOfAPeerWithoutMemoryDropsNothingInTheGrace) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// The reader restarted in the outage and lost its list, so it retains no
+// endpoint whose entry expired. The others must not drop those endpoints with
+// its list.
+BOOST_AUTO_TEST_CASE(ListOfARestartedPeerDropsNothingInTheGracePeriod) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   table.Confirm(At(5000), At(5100));
   EndpointListSnapshot list;
   list.revision = 20;
   table.Adopt(list, At(5200));
-  BOOST_TEST(Ready(table) == 2U);
+  BOOST_TEST(ReadyCount(table) == 2U);
   BOOST_TEST(table.Confirm(At(7100), At(7200)));
-  BOOST_TEST(Ready(table) == 0U);
+  BOOST_TEST(ReadyCount(table) == 0U);
 }
 
 // Guards against an endpoint that is used for two seconds after it has left,
 // because a single read failed just before its entry was removed (I5).
-BOOST_AUTO_TEST_CASE(OneFailedReadKeepsNoEndpointThatLeft) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+BOOST_AUTO_TEST_CASE(OneFailedReadRetainsNoEndpointThatLeft) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1600));
-  BOOST_TEST(List(table, {MakeEndpoint("two")}, 11, At(2300)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ApplyList(table, {MakeEndpoint("two")}, 11, At(2300)));
+  BOOST_TEST(ReadyCount(table) == 1U);
   BOOST_TEST(table.RetainedCount() == 0U);
 }
 
 // Guards against endpoints that are used for two seconds after they have left,
-// because the reader's own link was crowded for longer than entries last, while
-// the store answered others (I5).
-BOOST_AUTO_TEST_CASE(FailedReadsBesideAnswersToOthersKeepNoEndpoint) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// because the reader's own link was congested for longer than entries last,
+// while the store answered others (I5).
+BOOST_AUTO_TEST_CASE(FailedReadsBesideAnswersToOthersRetainNoEndpoint) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   table.OnStoreAnswered(At(900), At(1200));
   table.OnStoreAnswered(At(2100), At(2400));
-  BOOST_TEST(List(table, {MakeEndpoint("two")}, 11, At(3500)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ApplyList(table, {MakeEndpoint("two")}, 11, At(3500)));
+  BOOST_TEST(ReadyCount(table) == 1U);
   BOOST_TEST(table.RetainedCount() == 0U);
 }
 
-// Guards against endpoints that an instance uses for as long as the store turns
-// it away, though its peers hand it newer lists, and against peers that take
-// that from it (I5).
-BOOST_AUTO_TEST_CASE(InstanceThatIsTurnedAwayKeepsNoEndpointThatLeft) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// Guards against endpoints that an instance uses for as long as the store
+// refuses its reads, though its peers send it newer lists, and against peers
+// that take those endpoints over from it (I5).
+BOOST_AUTO_TEST_CASE(InstanceWithRefusedReadsRetainsNoEndpointThatLeft) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   for (int at = 1000; at <= 6000; at += 300) {
     table.OnStoreUnavailable(At(at));
     table.OnStoreAnswered(At(at - 1000), At(at));
@@ -183,188 +186,190 @@
   list.endpoints = {MakeEndpoint("two")};
   list.revision = 11;
   BOOST_TEST(table.Adopt(list, At(6100)));
-  BOOST_TEST(Ready(table) == 1U);
+  BOOST_TEST(ReadyCount(table) == 1U);
   BOOST_TEST(table.Share(At(6100)).retained_for.count() == 0);
 }
 
-// Guards against an outage whose end a peer saw while the last read of this
-// instance was still failing.
+// Guards against an outage that is missed because a peer saw its end while the
+// last read of this instance was still failing.
 BOOST_AUTO_TEST_CASE(FailureThatEndsAfterThePeersReadHidesNoOutage) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(5500));
   table.OnStoreAnswered(At(5100), At(5600));
-  List(table, {}, 20, At(5900));
-  BOOST_TEST(Ready(table) == 2U);
+  ApplyList(table, {}, 20, At(5900));
+  BOOST_TEST(ReadyCount(table) == 2U);
 }
 
-// Guards against a peer's word that the store is back from an outage, with a
-// list not known here yet, which takes the grace from the entries missing in
-// it.
-BOOST_AUTO_TEST_CASE(OutageThatAPeerSawTheEndOfBeginsTheGrace) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+// Guards against a peer's report that the store is back from an outage, with a
+// list not known here yet, that leaves no grace period to the entries missing
+// in it.
+BOOST_AUTO_TEST_CASE(OutageThatAPeerSawTheEndOfStartsTheGracePeriod) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   table.OnStoreAnswered(At(500), At(1100));
   table.OnStoreAnswered(At(5000), At(5200));
-  List(table, {}, 20, At(5600));
-  BOOST_TEST(Ready(table) == 2U);
-  List(table, {}, 21, At(7300));
-  BOOST_TEST(Ready(table) == 0U);
+  ApplyList(table, {}, 20, At(5600));
+  BOOST_TEST(ReadyCount(table) == 2U);
+  ApplyList(table, {}, 21, At(7300));
+  BOOST_TEST(ReadyCount(table) == 0U);
 }
 
-// Without an outage an entry that is gone is gone at once (I5).
-BOOST_AUTO_TEST_CASE(RemovedEntryIsGone) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  BOOST_TEST(List(table, {MakeEndpoint("two")}, 11, At(100)));
-  BOOST_TEST(Ready(table) == 1U);
+// Without an outage a removed entry takes effect immediately (I5).
+BOOST_AUTO_TEST_CASE(RemovedEntryIsDroppedImmediately) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+  BOOST_TEST(ApplyList(table, {MakeEndpoint("two")}, 11, At(100)));
+  BOOST_TEST(ReadyCount(table) == 1U);
 }
 
-// An endpoint says that it leaves right after an outage: the grace is for
-// missing entries only.
-BOOST_AUTO_TEST_CASE(DrainingIsBelievedAtOnce) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one")}, 10, At(0));
+// An endpoint announces that it drains right after an outage: the grace period
+// is for missing entries only.
+BOOST_AUTO_TEST_CASE(DrainingTakesEffectImmediately) {
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one")}, 10, At(0));
   table.OnStoreUnavailable(At(1000));
   Endpoint leaving = MakeEndpoint("one");
   leaving.state = EndpointState::kDraining;
-  List(table, {leaving}, 20, At(5000));
-  BOOST_TEST(Ready(table) == 0U);
+  ApplyList(table, {leaving}, 20, At(5000));
+  BOOST_TEST(ReadyCount(table) == 0U);
 }
 
-// Two answers overtake each other; the older list must not bring an endpoint
-// back that is gone.
+// Two answers arrive out of order; the older list must not restore an endpoint
+// that was removed.
 BOOST_AUTO_TEST_CASE(OlderListIsIgnored) {
-  EndpointTable table(kGrace, kShortestOutage);
-  List(table, {MakeEndpoint("one")}, 10, At(0));
-  BOOST_TEST(
-      !List(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 9, At(100)));
-  BOOST_TEST(Ready(table) == 1U);
+  EndpointTable table(kGrace, kMinOutage);
+  ApplyList(table, {MakeEndpoint("one")}, 10, At(0));
+  BOOST_TEST(!ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 9,
+                        At(100)));
+  BOOST_TEST(ReadyCount(table) == 1U);
   BOOST_TEST(table.ChangedRevision() == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(LoadsOfAllInstancesAddUp) {
-  LoadTracker book;
-  book.AddInFlight({"engine", 1, 100, 1});
-  book.AddInFlight({"engine", 1, 50, 0});
-  book.SetPeerLoads({{"engine", 2, 30, 1}, {"engine", 1, 10, 0}});
-  BOOST_TEST(book.Total("engine").answers == 5);
-  BOOST_TEST(book.Total("engine").token_layers == 190);
-  book.RemoveInFlight({"engine", 1, 100, 1});
-  book.RemoveInFlight({"engine", 1, 50, 0});
-  BOOST_TEST(book.Local().empty());
-  BOOST_TEST(book.Total("engine").answers == 3);
+  LoadTracker tracker;
+  tracker.AddInFlight({"engine", 1, 100, 1});
+  tracker.AddInFlight({"engine", 1, 50, 0});
+  tracker.SetPeerLoads({{"engine", 2, 30, 1}, {"engine", 1, 10, 0}});
+  BOOST_TEST(tracker.Total("engine").answers == 5);
+  BOOST_TEST(tracker.Total("engine").token_layers == 190);
+  tracker.RemoveInFlight({"engine", 1, 100, 1});
+  tracker.RemoveInFlight({"engine", 1, 50, 0});
+  BOOST_TEST(tracker.Local().empty());
+  BOOST_TEST(tracker.Total("engine").answers == 3);
 }
 
-// An engine started anew under its old id holds nothing; what it reported in
-// its former life must not lead answers to it.
-BOOST_AUTO_TEST_CASE(FactOfAnEarlierLifeDoesNotCount) {
-  LoadTracker book;
-  book.SetEngineStatus({"engine", 1, {0, 26}, 1.0}, At(3000));
+// An engine that restarted under its old id holds nothing; its status from
+// before the restart must not attract answers.
+BOOST_AUTO_TEST_CASE(StatusFromBeforeARestartDoesNotCount) {
+  LoadTracker tracker;
+  tracker.SetEngineStatus({"engine", 1, {0, 26}, 1.0}, At(3000));
   Endpoint endpoint = MakeEndpoint("engine");
-  BOOST_TEST(book.ToEngine(endpoint, At(0)).layers.Count() == 26U);
+  BOOST_TEST(tracker.ToEngine(endpoint, At(0)).layers.Count() == 26U);
   endpoint.start_time_ms = 2;
-  BOOST_TEST(book.ToEngine(endpoint, At(0)).layers.Count() == 0U);
+  BOOST_TEST(tracker.ToEngine(endpoint, At(0)).layers.Count() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SuspicionEndsByItself) {
-  LoadTracker book;
-  book.Suspect("engine", At(1000));
-  book.Suspect("engine", At(500));
-  BOOST_TEST(book.IsSuspected("engine", At(999)));
-  BOOST_TEST(!book.IsSuspected("engine", At(1000)));
-  BOOST_TEST(book.Suspicions(At(400), false).size() == 1U);
-  BOOST_TEST(book.Suspicions(At(1000), false).empty());
+BOOST_AUTO_TEST_CASE(SuspicionExpires) {
+  LoadTracker tracker;
+  tracker.Suspect("engine", At(1000));
+  tracker.Suspect("engine", At(500));
+  BOOST_TEST(tracker.IsSuspected("engine", At(999)));
+  BOOST_TEST(!tracker.IsSuspected("engine", At(1000)));
+  BOOST_TEST(tracker.Suspicions(At(400), false).size() == 1U);
+  BOOST_TEST(tracker.Suspicions(At(1000), false).empty());
 }
 
 // An engine is dead, and one instance has found out. The others learn which
-// suspicions are of silence, and the news is told once.
-BOOST_AUTO_TEST_CASE(SilenceIsToldApartFromRefusals) {
-  LoadTracker book;
-  book.Suspect("refuses", At(1000));
-  BOOST_TEST(book.MarkUnresponsive("silent", At(1000), At(0)));
-  BOOST_TEST(!book.MarkUnresponsive("silent", At(1200), At(10)));
-  BOOST_TEST(book.IsUnresponsive("silent", At(1100)));
-  BOOST_TEST(!book.IsUnresponsive("refuses", At(10)));
-  BOOST_TEST(book.IsSuspected("silent", At(10)));
-  for (const gossip::Suspicion& one : book.Suspicions(At(10), false)) {
+// suspicions mean that the endpoint is unresponsive, and the event is signalled
+// once.
+BOOST_AUTO_TEST_CASE(UnresponsiveEndpointsAreDistinguishedFromRefusals) {
+  LoadTracker tracker;
+  tracker.Suspect("refuses", At(1000));
+  BOOST_TEST(tracker.MarkUnresponsive("silent", At(1000), At(0)));
+  BOOST_TEST(!tracker.MarkUnresponsive("silent", At(1200), At(10)));
+  BOOST_TEST(tracker.IsUnresponsive("silent", At(1100)));
+  BOOST_TEST(!tracker.IsUnresponsive("refuses", At(10)));
+  BOOST_TEST(tracker.IsSuspected("silent", At(10)));
+  for (const gossip::Suspicion& one : tracker.Suspicions(At(10), false)) {
     BOOST_TEST(one.unresponsive == (one.endpoint == "silent"));
   }
-  book.OnResponse("silent", At(10));
-  BOOST_TEST(!book.IsSuspected("silent", At(10)));
+  tracker.OnResponse("silent", At(10));
+  BOOST_TEST(!tracker.IsSuspected("silent", At(10)));
 }
 
-// An engine was dead for a moment. Instances that passed on what they had heard
-// would keep the word of it going among themselves when it is long back.
-BOOST_AUTO_TEST_CASE(HearsayIsNotPassedOn) {
-  LoadTracker book;
-  BOOST_TEST(book.MarkReportedUnresponsive("engine", At(1000), At(0)));
-  BOOST_TEST(book.IsUnresponsive("engine", At(10)));
-  BOOST_TEST(book.Suspicions(At(10), false).empty());
-  BOOST_TEST(book.Suspicions(At(10), true).size() == 1U);
+// An engine was dead for a moment. Instances that passed on reports of others
+// would keep the suspicion alive among themselves long after the engine is
+// back.
+BOOST_AUTO_TEST_CASE(ReportsOfOthersAreNotPassedOn) {
+  LoadTracker tracker;
+  BOOST_TEST(tracker.MarkReportedUnresponsive("engine", At(1000), At(0)));
+  BOOST_TEST(tracker.IsUnresponsive("engine", At(10)));
+  BOOST_TEST(tracker.Suspicions(At(10), false).empty());
+  BOOST_TEST(tracker.Suspicions(At(10), true).size() == 1U);
 }
 
-// An instance asks an engine and gets an answer, while others still tell what
-// they found before.
-BOOST_AUTO_TEST_CASE(OwnAnswerOutweighsOthersWord) {
-  LoadTracker book;
-  book.OnResponse("engine", At(0));
-  BOOST_TEST(!book.MarkReportedUnresponsive("engine", At(1000), At(299)));
-  BOOST_TEST(!book.IsUnresponsive("engine", At(299)));
-  BOOST_TEST(book.MarkReportedUnresponsive("engine", At(1000), At(300)));
+// An instance probes an engine and gets a response, while others still report
+// what they found before.
+BOOST_AUTO_TEST_CASE(LocalResponseTakesPrecedenceOverReports) {
+  LoadTracker tracker;
+  tracker.OnResponse("engine", At(0));
+  BOOST_TEST(!tracker.MarkReportedUnresponsive("engine", At(1000), At(299)));
+  BOOST_TEST(!tracker.IsUnresponsive("engine", At(299)));
+  BOOST_TEST(tracker.MarkReportedUnresponsive("engine", At(1000), At(300)));
 }
 
-// A third of the instances are cut off from the others. What they last heard
-// of their loads is from a calm moment, so they send everything to the same
-// engines, which refuse their callers.
-BOOST_AUTO_TEST_CASE(InstanceThatHearsNobodyTakesOthersAsLoadedLikeItself) {
-  LoadTracker book;
-  book.AddInFlight({"engine", 2, 2000, 1});
-  book.SetPeerLoads({{"engine", 3, 3000, 0}, {"other", 5, 5000, 0}});
-  book.AssumeEqualPeerLoad(70);
-  BOOST_TEST(book.Total("engine").answers == 142);
-  BOOST_TEST(book.Total("engine").token_layers == 142000);
-  BOOST_TEST(book.Total("other").answers == 5);
-  book.AssumeEqualPeerLoad(0);
-  BOOST_TEST(book.Total("engine").answers == 5);
+// A third of the instances are cut off from the others. The last reported loads
+// are from a moment of less load, so they send everything to the same engines,
+// which refuse their callers.
+BOOST_AUTO_TEST_CASE(IsolatedInstanceAssumesThatOthersHaveItsLoad) {
+  LoadTracker tracker;
+  tracker.AddInFlight({"engine", 2, 2000, 1});
+  tracker.SetPeerLoads({{"engine", 3, 3000, 0}, {"other", 5, 5000, 0}});
+  tracker.AssumeEqualPeerLoad(70);
+  BOOST_TEST(tracker.Total("engine").answers == 142);
+  BOOST_TEST(tracker.Total("engine").token_layers == 142000);
+  BOOST_TEST(tracker.Total("other").answers == 5);
+  tracker.AssumeEqualPeerLoad(0);
+  BOOST_TEST(tracker.Total("engine").answers == 5);
 }
 
-// Instances that can't be heard fill an engine. Its own report tells, and
-// requests go elsewhere instead of being refused there.
-BOOST_AUTO_TEST_CASE(EnginesOwnWordCountsWhereItSaysMore) {
-  LoadTracker book;
-  book.AddInFlight({"engine", 1, 1000, 1});
+// Instances whose loads are unknown here fill an engine. Its own report shows
+// that, and requests go to other engines instead of being refused there.
+BOOST_AUTO_TEST_CASE(HigherLoadReportedByTheEngineCounts) {
+  LoadTracker tracker;
+  tracker.AddInFlight({"engine", 1, 1000, 1});
   const Endpoint endpoint = MakeEndpoint("engine");
-  book.SetEngineStatus({"engine", 1, {0, 26}, 1.0, 500000}, At(3000));
-  BOOST_TEST(book.ToEngine(endpoint, At(0)).token_layers == 500000);
-  BOOST_TEST(book.ToEngine(endpoint, At(3000)).token_layers == 1000);
+  tracker.SetEngineStatus({"engine", 1, {0, 26}, 1.0, 500000}, At(3000));
+  BOOST_TEST(tracker.ToEngine(endpoint, At(0)).token_layers == 500000);
+  BOOST_TEST(tracker.ToEngine(endpoint, At(3000)).token_layers == 1000);
 }
 
-// An engine says that it is well and refuses everything. Every instance tries
-// it again after each pause, at the cost of a caller's time.
-BOOST_AUTO_TEST_CASE(PausesAfterRefusalsInARowGrow) {
-  LoadTracker book;
-  book.OnRefusal("engine", false, At(0));
-  book.OnRefusal("engine", false, At(10));
-  BOOST_TEST(book.IsSuspected("engine", At(999)));
-  BOOST_TEST(!book.IsSuspected("engine", At(1000)));
-  BOOST_TEST(book.Suspicions(At(10), false).size() == 1U);
-  book.OnRefusal("engine", false, At(1100));
-  BOOST_TEST(book.IsSuspected("engine", At(3099)));
-  BOOST_TEST(!book.IsSuspected("engine", At(3100)));
-  book.OnRefusal("engine", false, At(9000));
-  BOOST_TEST(!book.IsSuspected("engine", At(10000)));
+// An engine reports itself as healthy and refuses everything. Every instance
+// tries it again after each pause, which costs a caller's time.
+BOOST_AUTO_TEST_CASE(PausesGrowWithConsecutiveRefusals) {
+  LoadTracker tracker;
+  tracker.OnRefusal("engine", false, At(0));
+  tracker.OnRefusal("engine", false, At(10));
+  BOOST_TEST(tracker.IsSuspected("engine", At(999)));
+  BOOST_TEST(!tracker.IsSuspected("engine", At(1000)));
+  BOOST_TEST(tracker.Suspicions(At(10), false).size() == 1U);
+  tracker.OnRefusal("engine", false, At(1100));
+  BOOST_TEST(tracker.IsSuspected("engine", At(3099)));
+  BOOST_TEST(!tracker.IsSuspected("engine", At(3100)));
+  tracker.OnRefusal("engine", false, At(9000));
+  BOOST_TEST(!tracker.IsSuspected("engine", At(10000)));
 }
 
-// A full engine has room again soon. If every instance kept away from it for a
-// second because one was refused, a third of its room would lie idle.
-BOOST_AUTO_TEST_CASE(FullEngineIsLeftAloneForAMomentByOneInstance) {
-  LoadTracker book;
-  book.OnRefusal("engine", true, At(0));
-  BOOST_TEST(book.IsSuspected("engine", At(399)));
-  BOOST_TEST(!book.IsSuspected("engine", At(400)));
-  BOOST_TEST(book.Suspicions(At(10), false).empty());
+// A full engine has free capacity again soon. If every instance avoided it for
+// a second because one was refused, a third of its capacity would be idle.
+BOOST_AUTO_TEST_CASE(FullEngineIsAvoidedBrieflyByOneInstance) {
+  LoadTracker tracker;
+  tracker.OnRefusal("engine", true, At(0));
+  BOOST_TEST(tracker.IsSuspected("engine", At(399)));
+  BOOST_TEST(!tracker.IsSuspected("engine", At(400)));
+  BOOST_TEST(tracker.Suspicions(At(10), false).empty());
 }
 
 }  // namespace
--- a/unittests/endpoints/liveness_evidence_test.cc
+++ b/unittests/endpoints/liveness_evidence_test.cc
@@ -16,17 +16,18 @@
   return stages;
 }
 
-// Engine "c" dies. Answers that share "a" and "b" with the silent one go on, so
-// only "c" and its neighbour, which nobody else uses, are asked.
-BOOST_AUTO_TEST_CASE(OnlyEnginesThatNoOtherAnswerPassesAreDoubted) {
+// Engine "c" dies. Answers that share "a" and "b" with the stalled one
+// continue, so only "c" and its neighbour, which no other answer passes, lack
+// evidence.
+BOOST_AUTO_TEST_CASE(OnlyEnginesThatNoOtherAnswerPassesLackEvidence) {
   const std::vector<LivenessEvidence> others = {{Path({"a", "b"}), At(110)},
                                                 {Path({"c", "d"}), At(60)}};
-  const auto doubted =
+  const auto without_evidence =
       EnginesWithoutEvidence(Path({"a", "b", "c", "d"}), At(100), others);
-  BOOST_TEST((doubted == Path({"c", "d"})));
+  BOOST_TEST((without_evidence == Path({"c", "d"})));
 }
 
-BOOST_AUTO_TEST_CASE(AloneAllAreDoubted) {
+BOOST_AUTO_TEST_CASE(WithoutOtherAnswersAllEnginesLackEvidence) {
   const auto stages = Path({"a", "b"});
   BOOST_TEST((EnginesWithoutEvidence(stages, At(0), {}) == stages));
 }
