--- a/include/toucanwharf/store/call_limiter.h
+++ b/include/toucanwharf/store/call_limiter.h
@@ -13,41 +13,41 @@
   /// Calls a second. The platform takes about two thousand reads and several
   /// hundred writes a second; six instances at 60 leave half of that free.
   double calls_per_second = 60.0;
-  /// Calls that may go out at once after a quiet time.
+  /// Calls that may go out immediately after an idle period.
   double burst = 30.0;
-  /// First pause after a failed call, and the longest. The pause is drawn
-  /// evenly from zero up to the bound, so that instances which failed at the
-  /// same moment don't come back at the same moment.
-  Duration first_pause{std::chrono::milliseconds(50)};
-  Duration longest_pause{std::chrono::seconds(5)};
+  /// Upper bounds of the first backoff after a failed call and of all later. The
+  /// backoff is drawn evenly from zero up to the bound, so that instances that
+  /// failed at the same moment don't retry at the same moment.
+  Duration initial_backoff{std::chrono::milliseconds(50)};
+  Duration max_backoff{std::chrono::seconds(5)};
 
   friend bool operator==(const CallLimits&, const CallLimits&) = default;
 };
 
 /// Decides when an instance may call the platform.
 ///
-/// Pattern of load: an outage makes every instance retry everything, and the
-/// store's return is met by all of it at once, which takes it down again. The
-/// guard: a budget of calls per instance (token bucket), and while calls fail
-/// one probe at a time after an exponential pause with full jitter. The bucket
-/// is emptied by a failure, so that after the return load grows at the rate of
-/// the budget rather than with a burst.
+/// Load: an outage makes every instance retry everything, and the returning
+/// store gets all of it in a moment, which takes it down again. Guards against
+/// it by a budget of calls per instance (token bucket) and, while calls fail,
+/// one probe at a time after an exponential backoff with full jitter. A failure
+/// empties the bucket, so that after the return load grows at the rate of the
+/// budget rather than with a burst.
 ///
 /// Thread safety: none; for one thread.
 class CallLimiter {
  public:
-  /// Precondition: rates and pauses of \p limits are above zero.
+  /// Precondition: rates and backoffs of \p limits are above zero.
   CallLimiter(const CallLimits& limits, Random random);
 
-  /// Takes one call out of the budget; false if it must wait. A call that was
-  /// let through is followed by exactly one OnSuccess or OnFailure.
+  /// Takes one call out of the budget; false if it must wait. Each granted call
+  /// is followed by exactly one OnSuccess or OnFailure.
   bool TryAcquire(TimePoint now);
-  /// The platform answered, whatever it answered.
+  /// Records that the platform answered, whatever the answer.
   void OnSuccess();
-  /// The platform didn't answer, or only that it is unavailable.
+  /// Records that the platform didn't answer, or only that it is unavailable.
   void OnFailure(TimePoint now);
 
-  /// Returns whether the last answer was a failure.
+  /// Returns whether the last call failed.
   bool Failing() const { return this->failures > 0; }
 
  private:
@@ -57,7 +57,7 @@
   Random random;
   double tokens;
   TimePoint refilled_at;
-  TimePoint closed_until;
+  TimePoint next_probe_at;
   std::uint32_t failures = 0;
   std::uint32_t in_flight = 0;
 };
--- a/include/toucanwharf/store/mirror.h
+++ b/include/toucanwharf/store/mirror.h
@@ -10,13 +10,14 @@
 
 namespace toucanwharf::store {
 
-/// A copy of one collection, kept up by a watch that resumes where it broke
-/// and lists again when the platform no longer knows that point (410).
+/// A copy of one collection, kept current by a watch that resumes after its
+/// last revision, and by a new listing when the platform no longer has that
+/// revision (410).
 ///
-/// Failures guarded against: a listing or a watch answer that is older than
-/// what was already seen would bring deleted objects back and undo changes; it
-/// is ignored by its revision. A change between the last event and a new
-/// listing, deletions too, is found by comparing the listing with the copy.
+/// Failures guarded against: a listing or a watch answer that is older than the
+/// copy would restore deleted objects and undo changes; it is ignored by its
+/// revision. A change between the last event and a new listing, deletions too,
+/// is found by comparing the listing with the copy.
 ///
 /// Thread safety: none; for one thread.
 class Mirror {
@@ -29,23 +30,23 @@
     friend bool operator==(const Call&, const Call&) = default;
   };
 
-  /// Returns the next call; the same until an answer is handed in.
+  /// Returns the next call; unchanged until an answer is passed in.
   Call Next() const { return Call{this->must_list, this->revision}; }
 
-  /// Takes a listing and returns what changed.
+  /// Applies a listing and returns what changed.
   std::vector<Event> OnListing(const Listing& listing);
-  /// Takes the events of a watch that was started after \p after, and the
-  /// revision that it got to; returns those that are news.
+  /// Applies the events of a watch that was started after \p after and reached
+  /// the revision \p reached; returns those that changed the copy.
   std::vector<Event> OnEvents(std::uint64_t after, std::uint64_t reached,
                               const std::vector<Event>& events);
-  /// The platform answered 410: the next call is a listing.
+  /// Handles a 410 of the platform: the next call is a listing.
   void OnGone() { this->must_list = true; }
 
   /// Returns the objects by name.
   const std::map<std::string, Object>& Objects() const { return this->objects; }
   /// Returns the revision of the store that the copy shows.
   std::uint64_t Revision() const { return this->revision; }
-  /// Returns whether any listing has been taken.
+  /// Returns whether any listing has been applied.
   bool Filled() const { return this->filled; }
 
  private:
--- a/include/toucanwharf/store/object.h
+++ b/include/toucanwharf/store/object.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-/// What is said to the platform's object API and what it answers, as values.
-/// The core makes the calls, the transport carries them out.
+/// Calls to the platform's object API and their answers, as values. The core
+/// decides on the calls, the transport makes them.
 namespace toucanwharf::store {
 
 /// The platform refuses larger values.
@@ -23,7 +23,7 @@
   friend auto operator<=>(const ObjectKey&, const ObjectKey&) = default;
 };
 
-/// One object as the platform showed it.
+/// One object as the platform returned it.
 struct Object {
   ObjectKey key;
   /// Revision of the store at the object's last write; 0 for no object.
@@ -39,7 +39,7 @@
 /// A conditional write. `if_version` 0 means that the object must not exist.
 struct Write {
   ObjectKey key;
-  /// Unique for each logical write, and the same for each try of it.
+  /// Unique for each logical write, and the same for each attempt of it.
   std::string writer;
   std::uint64_t if_version = 0;
   /// JSON text.
@@ -48,16 +48,17 @@
   friend bool operator==(const Write&, const Write&) = default;
 };
 
-/// How a write ended, as far as this process knows.
+/// Outcome of a write, as far as this process knows.
 enum class WriteStatus {
   kWritten,
   kConflict,
-  /// No answer, or one that doesn't say: the write may or may not take effect,
+  /// No answer, or an inconclusive one: the write may or may not take effect,
   /// now or later.
   kUnknown,
 };
 
-/// Answer to a Write; `version` is the new one, or in a conflict the current.
+/// Answer to a Write; `version` is the new one, or in a conflict the current
+/// one.
 struct WriteAnswer {
   WriteStatus status = WriteStatus::kUnknown;
   std::uint64_t version = 0;
@@ -67,7 +68,7 @@
 
 enum class ReadStatus { kFound, kMissing, kUnknown };
 
-/// Answer to a read; `object` only when found. It may be stale.
+/// Answer to a read; `object` is set only if found. It may be stale.
 struct ReadAnswer {
   ReadStatus status = ReadStatus::kUnknown;
   Object object;
@@ -83,8 +84,8 @@
   friend bool operator==(const Listing&, const Listing&) = default;
 };
 
-/// One change that a watch reports. A deletion's object has the key and the
-/// revision of the deletion as version.
+/// One change that a watch reports. For a deletion the object has the key, and
+/// the deletion's revision as version.
 struct Event {
   bool deleted = false;
   Object object;
--- a/lib/store/call_limiter.cc
+++ b/lib/store/call_limiter.cc
@@ -14,24 +14,24 @@
 
 }  // namespace
 
-CallLimiter::CallLimiter(const CallLimits& gate_limits, Random source)
-    : limits(gate_limits), random(source), tokens(gate_limits.burst) {
-  assert(gate_limits.calls_per_second > 0 && gate_limits.burst >= 1);
+CallLimiter::CallLimiter(const CallLimits& call_limits, Random source)
+    : limits(call_limits), random(source), tokens(call_limits.burst) {
+  assert(call_limits.calls_per_second > 0 && call_limits.burst >= 1);
 }
 
 void CallLimiter::Refill(TimePoint now) {
   const double earned =
       Seconds(now - this->refilled_at) * this->limits.calls_per_second;
-  // While calls fail nothing is saved up: the return starts without a burst.
-  const double most = this->failures > 0 ? 1.0 : this->limits.burst;
-  this->tokens = std::min(most, this->tokens + earned);
+  // While calls fail no tokens accumulate: the return starts without a burst.
+  const double max_tokens = this->failures > 0 ? 1.0 : this->limits.burst;
+  this->tokens = std::min(max_tokens, this->tokens + earned);
   this->refilled_at = now;
 }
 
 bool CallLimiter::TryAcquire(TimePoint now) {
   this->Refill(now);
   if (this->failures > 0) {
-    if (this->in_flight > 0 || now < this->closed_until) return false;
+    if (this->in_flight > 0 || now < this->next_probe_at) return false;
   }
   if (this->tokens < 1.0) return false;
   this->tokens -= 1.0;
@@ -47,11 +47,12 @@
 void CallLimiter::OnFailure(TimePoint now) {
   if (this->in_flight > 0) --this->in_flight;
   const std::uint32_t doublings = std::min(this->failures, kMaxDoublings);
-  const Duration bound = std::min(this->limits.longest_pause,
-                                  this->limits.first_pause * (1U << doublings));
+  const Duration bound =
+      std::min(this->limits.max_backoff,
+               this->limits.initial_backoff * (1U << doublings));
   const auto span = static_cast<std::uint64_t>(bound.count()) + 1;
-  const auto pause = static_cast<Duration::rep>(this->random.Below(span));
-  this->closed_until = std::max(this->closed_until, now + Duration(pause));
+  const auto backoff = static_cast<Duration::rep>(this->random.Below(span));
+  this->next_probe_at = std::max(this->next_probe_at, now + Duration(backoff));
   ++this->failures;
 }
 
--- a/lib/store/conditional_write.cc
+++ b/lib/store/conditional_write.cc
@@ -25,10 +25,10 @@
   }
   this->step = Step::kRead;
   if (answer.status == WriteStatus::kUnknown) return;
-  // A conflict is read back as well: it may be with an earlier try of this
-  // same write, whose answer never came.
+  // A conflict is read back as well: it may be with an earlier attempt of this
+  // same write, whose answer was lost.
   this->seen_version = std::max(this->seen_version, answer.version);
-  // No object where one was expected: deleted, there is nothing to read.
+  // No object where one was expected: it was deleted, there is nothing to read.
   if (answer.version == 0 && this->write.if_version != 0) {
     this->step = Step::kConflict;
   }
@@ -37,8 +37,8 @@
 void ConditionalWrite::OnRead(const ReadAnswer& answer) {
   if (this->Done() || answer.status == ReadStatus::kUnknown) return;
   if (answer.status == ReadStatus::kMissing) {
-    // Missing may be stale, and only a write's answer proves a deletion. If a
-    // version was seen that isn't the expected one, read again.
+    // The read may be stale, and only a write's answer proves a deletion. If a
+    // version other than the expected one was seen, read again.
     if (this->seen_version == this->write.if_version) this->step = Step::kWrite;
     return;
   }
@@ -47,13 +47,13 @@
     this->Apply(object.version);
     return;
   }
-  // Older than what was already seen: a stale read proves nothing.
+  // Older than a version already seen: the read is stale and proves nothing.
   if (object.version < this->seen_version) return;
   if (object.version == this->write.if_version) {
     this->step = Step::kWrite;
     return;
   }
-  this->obstacle = object;
+  this->conflicting_object = object;
   this->step = Step::kConflict;
 }
 
--- a/unittests/store/conditional_write_test.cc
+++ b/unittests/store/conditional_write_test.cc
@@ -29,9 +29,9 @@
 }
 
 // Three processes write the same object on top of the same version, while
-// answers are lost, reads are stale and writes land long after their sender
-// gave them up. A user would see a role held twice, or by nobody, if one of
-// them misjudged how its write ended.
+// answers are lost, reads are stale and writes land long after their sender's
+// timeout. Guards against a role held twice, or by no process, because one of
+// them misjudged the outcome of its write.
 RC_BOOST_PROP(ExactlyOneOfRacingWritesTakesEffect, (bool exists)) {
   ObjectMap map;
   std::uint64_t base = 0;
@@ -74,8 +74,8 @@
 }
 
 // The write lost against a newer change, and the read that should show the
-// change is stale. Acting on the older one would act on what is over: the
-// write is settled only by what is at least as new as the conflict said.
+// change is stale. Guards against a caller that acts on a replaced object: only
+// a version at least as new as the conflict reported settles the write.
 BOOST_AUTO_TEST_CASE(StaleReadDoesNotSettleAConflict) {
   ConditionalWrite write(Write{kKey, "mine", 1, "1"});
   write.OnWrite({WriteStatus::kConflict, 7});
@@ -86,8 +86,8 @@
   BOOST_TEST(write.ConflictingObject()->value == "new");
 }
 
-// The object was deleted under the writer. It is told so, and doesn't wait
-// for an object that never comes back.
+// The object was deleted under the writer. The writer must get a conflict, and
+// not wait for an object that never comes back.
 BOOST_AUTO_TEST_CASE(DeletedObjectIsAConflict) {
   ObjectMap map;
   const auto base = map.Write({kKey, "t0", 0, "0"}, Fault::kNone).version;
--- a/unittests/store/mirror_test.cc
+++ b/unittests/store/mirror_test.cc
@@ -9,21 +9,21 @@
   return Object{{"records", name}, version, "w", "{}"};
 }
 
-// A watch broke while a record was deleted, and the platform no longer knows
-// the point where it broke. The new listing shows the deletion.
-BOOST_AUTO_TEST_CASE(ListingAfterGoneFindsDeletions) {
+// A watch broke while a record was deleted, and the platform no longer has the
+// revision to resume from. The new listing shows the deletion.
+BOOST_AUTO_TEST_CASE(ListingAfterExpiredRevisionFindsDeletions) {
   Mirror mirror;
   mirror.OnListing({5, {Named("a", 3), Named("b", 5)}});
   mirror.OnGone();
   BOOST_TEST(mirror.Next().list);
-  const auto news = mirror.OnListing({9, {Named("b", 8)}});
-  BOOST_TEST(news.size() == 2u);
+  const auto changes = mirror.OnListing({9, {Named("b", 8)}});
+  BOOST_TEST(changes.size() == 2u);
   BOOST_TEST(!mirror.Objects().contains("a"));
   BOOST_TEST((mirror.Next() == Mirror::Call{false, 9}));
 }
 
-// A replica of the platform that lags answers the listing with yesterday's
-// state. Taking it would bring a deleted record back.
+// A lagging replica of the platform answers the listing with old state.
+// Applying it would restore a deleted record.
 BOOST_AUTO_TEST_CASE(OlderListingIsIgnored) {
   Mirror mirror;
   mirror.OnListing({5, {Named("a", 3)}});
@@ -34,14 +34,14 @@
   BOOST_TEST(mirror.Next().list);
 }
 
-// The answer of a watch that had been given up arrives after a newer one. It
-// tells of a record that was deleted since; the record must stay away.
+// The answer of a watch that timed out arrives after a newer one. It reports a
+// record that was deleted since; the record must stay deleted.
 BOOST_AUTO_TEST_CASE(AnswerOfAnOldWatchIsIgnored) {
   Mirror mirror;
   mirror.OnListing({5, {Named("a", 3)}});
   mirror.OnEvents(5, 8, {{false, Named("b", 6)}, {true, Named("b", 8)}});
-  const auto news = mirror.OnEvents(5, 6, {{false, Named("b", 6)}});
-  BOOST_TEST(news.empty());
+  const auto changes = mirror.OnEvents(5, 6, {{false, Named("b", 6)}});
+  BOOST_TEST(changes.empty());
   BOOST_TEST(!mirror.Objects().contains("b"));
 }
 
