--- a/include/toucanwharf/control/config.h
+++ b/include/toucanwharf/control/config.h
@@ -8,14 +8,14 @@
 #include <string_view>
 #include <vector>
 
-/// Accepted configuration as it is published: a head that names a chain of
-/// deltas and a snapshot under it.
+/// Accepted configuration as it is published: a head that refers to a chain of
+/// deltas and to the snapshot below it.
 namespace toucanwharf::control {
 
 /// Record values (JSON text) by object name, `{kind}.{name}`.
 using RecordMap = std::map<std::string, std::string>;
 
-/// Everything accepted up to one generation.
+/// All records accepted up to one generation.
 struct Config {
   std::uint64_t generation = 0;
   RecordMap records;
@@ -23,13 +23,13 @@
   friend bool operator==(const Config&, const Config&) = default;
 };
 
-/// What one generation changed; no value stands for a deletion.
+/// Changes of one generation; no value means a deletion.
 using ChangeMap = std::map<std::string, std::optional<std::string>>;
 
 /// One generation's changes, in the object `config/{name}`.
 struct Delta {
   std::uint64_t generation = 0;
-  /// Name of the delta of the generation before; empty for the first.
+  /// Name of the previous generation's delta; empty for the first.
   std::string previous;
   ChangeMap changes;
 
@@ -46,9 +46,9 @@
   friend bool operator==(const SnapshotName&, const SnapshotName&) = default;
 };
 
-/// The object `config/head`. It is the only one that is ever overwritten, by a
-/// conditional write: its version is what a publisher that lost the lease
-/// can't have.
+/// The object `config/head`, the only one that is ever overwritten. The write
+/// is conditional on its version, which a publisher that lost the lease can't
+/// know.
 struct Head {
   std::uint64_t generation = 0;
   /// Fencing number of the publisher's lease.
@@ -63,26 +63,25 @@
 
 inline constexpr const char* kConfigCollection = "config";
 inline constexpr const char* kHeadName = "head";
-/// Chunks are cut at this size, under the platform's limit by far.
+/// Maximum size of a chunk, far below the platform's limit.
 inline constexpr std::size_t kChunkBytes = std::size_t{512} * 1024;
 
-/// Encode as JSON text, and decode, or nothing for text that isn't one.
+/// Encode to JSON text and decode; decoding returns nothing for invalid text.
 /// Thread safety: safe.
 std::string Encode(const Head& head);
 std::string Encode(const Delta& delta);
 std::optional<Head> DecodeHead(std::string_view text);
 std::optional<Delta> DecodeDelta(std::string_view text);
 
-/// Returns \p records as JSON objects of about kChunkBytes at most; one chunk
-/// at least.
-/// Thread safety: safe.
+/// Returns \p records as JSON objects of up to about kChunkBytes each; at least
+/// one chunk. Thread safety: safe.
 std::vector<std::string> EncodeChunks(const RecordMap& records);
-/// Returns the records of one chunk, or nothing for text that isn't one.
-/// Thread safety: safe.
+/// Returns the records of one chunk, or nothing for invalid text. Thread
+/// safety: safe.
 std::optional<RecordMap> DecodeChunk(std::string_view text);
 
-/// What one instance sends another: all changes from one generation to
-/// another, or with `from` 0 everything.
+/// An update from one instance to another: all changes from one generation to
+/// another, or all records if `from` is 0.
 struct PeerUpdate {
   std::uint64_t from = 0;
   std::uint64_t to = 0;
--- a/include/toucanwharf/control/review.h
+++ b/include/toucanwharf/control/review.h
@@ -16,23 +16,23 @@
 /// Decides which of the operators' records take effect.
 namespace toucanwharf::control {
 
-/// What an inspector says of one record.
+/// An inspector's result for one record.
 struct Inspection {
   /// Schema version that the record is written in.
   std::string schema;
-  /// Why it can't take effect, each with the remedy; empty when it can.
+  /// Why the record can't take effect, each with the remedy; empty if it can.
   std::vector<std::string> problems;
 
   friend bool operator==(const Inspection&, const Inspection&) = default;
 };
 
-/// What the review asks of whoever knows the kinds of records.
+/// Checks of the kinds of records that the review depends on.
 template <typename T>
 concept RecordInspector = requires(const T& inspector, const RecordMap& records,
                                    const std::string& name) {
-  /// Says what is wrong with `name` among \p records, which hold it.
+  /// Returns the problems of `name` among \p records, which contain it.
   { inspector.Inspect(records, name) } -> std::same_as<Inspection>;
-  /// Says why \p records can't do without `name`, which they don't hold.
+  /// Returns why \p records, which no longer contain `name`, need it.
   {
     inspector.InspectRemoval(records, name)
     } -> std::same_as<std::vector<std::string>>;
@@ -40,20 +40,20 @@
 
 enum class RecordState { kAccepted, kRejected, kWaiting };
 
-/// What became of one record, for the operator who wrote it.
+/// Outcome of the review for one record, for the operator who wrote it.
 struct RecordStatus {
   RecordState state = RecordState::kAccepted;
-  /// Version of the record that the status speaks of; 0 for a deletion.
+  /// Version of the record that the status refers to; 0 for a deletion.
   std::uint64_t record_version = 0;
   std::vector<std::string> reasons;
 
   friend bool operator==(const RecordStatus&, const RecordStatus&) = default;
 };
 
-/// The schema versions that each live instance reads.
+/// The schema versions that each live instance can read.
 using SchemaReaders = std::map<std::string, std::set<std::string>>;
 
-/// A review's outcome: what to publish and what to tell.
+/// Result of a review: the changes to publish and the statuses to report.
 struct Review {
   ChangeMap changes;
   std::map<std::string, RecordStatus> statuses;
@@ -63,8 +63,8 @@
 
 /// Returns the instances of \p readers that can't read \p schema.
 /// Thread safety: safe.
-inline std::vector<std::string> HoldUps(const SchemaReaders& readers,
-                                        const std::string& schema) {
+inline std::vector<std::string> InstancesWithoutSchema(
+    const SchemaReaders& readers, const std::string& schema) {
   std::vector<std::string> names;
   for (const auto& [instance, schemas] : readers) {
     if (!schemas.contains(schema)) names.push_back(instance);
@@ -72,7 +72,7 @@
   return names;
 }
 
-/// One review under way. Use ReviewRecords.
+/// One review in progress. Use ReviewRecords.
 template <RecordInspector T>
 class Reviewer {
  public:
@@ -83,27 +83,27 @@
         readers(schema_readers),
         inspector(record_inspector) {}
 
-  /// Decides until nothing changes any more: a record may need another one
-  /// that was written after it.
+  /// Repeats until nothing changes any more: a record may need another one that
+  /// was written after it.
   Review Run() {
-    bool progress = true;
-    while (progress) {
-      progress = this->TryRemovals();
+    bool changed = true;
+    while (changed) {
+      changed = this->TryRemovals();
       for (const store::Object* object : this->Candidates()) {
-        if (this->TryChange(*object)) progress = true;
+        if (this->TryChange(*object)) changed = true;
       }
     }
     return std::move(this->review);
   }
 
  private:
-  /// Returns the records that differ from what is accepted, oldest first: of
+  /// Returns the records that differ from the accepted ones, oldest first: of
   /// two that conflict, the one written first is accepted and stays.
   std::vector<const store::Object*> Candidates() const {
     std::vector<const store::Object*> found;
     for (const auto& [name, object] : this->wanted) {
-      const auto held = this->records.find(name);
-      if (held == this->records.end() || held->second != object.value) {
+      const auto accepted = this->records.find(name);
+      if (accepted == this->records.end() || accepted->second != object.value) {
         found.push_back(&object);
       }
     }
@@ -127,7 +127,7 @@
     }
     // An instance that can't read the record would serve without it.
     for (const std::string& instance :
-         HoldUps(this->readers, inspection.schema)) {
+         InstancesWithoutSchema(this->readers, inspection.schema)) {
       status.state = RecordState::kWaiting;
       status.reasons.push_back("instance " + instance + " can't read schema " +
                                inspection.schema +
@@ -169,10 +169,9 @@
   Review review;
 };
 
-/// Compares what is in force with what operators want and returns what to
-/// publish. Statuses are given for records that changed or that don't take
-/// effect.
-/// Thread safety: safe.
+/// Compares the configuration in force with the operators' records and returns
+/// what to publish. Statuses are given for records that changed or that don't
+/// take effect. Thread safety: safe.
 template <RecordInspector T>
 Review ReviewRecords(const RecordMap& accepted,
                      const std::map<std::string, store::Object>& wanted,
--- a/include/toucanwharf/store/call_limiter.h
+++ b/include/toucanwharf/store/call_limiter.h
@@ -15,9 +15,9 @@
   double calls_per_second = 60.0;
   /// Calls that may go out immediately after an idle period.
   double burst = 30.0;
-  /// Upper bounds of the first backoff after a failed call and of all later. The
-  /// backoff is drawn evenly from zero up to the bound, so that instances that
-  /// failed at the same moment don't retry at the same moment.
+  /// Upper bounds of the first backoff after a failed call and of any backoff.
+  /// Backoffs are drawn evenly from zero up to the bound, so that instances
+  /// that failed at the same moment don't retry at the same moment.
   Duration initial_backoff{std::chrono::milliseconds(50)};
   Duration max_backoff{std::chrono::seconds(5)};
 
--- a/lib/control/config_follower.cc
+++ b/lib/control/config_follower.cc
@@ -5,29 +5,29 @@
 namespace toucanwharf::control {
 namespace {
 
-/// Generations whose changes are kept for peers: a peer further behind than
-/// that gets everything.
-constexpr std::size_t kKeptSteps = 64;
-/// An instance that is further behind takes the snapshot: an instance that is
-/// one change behind must not fetch everything because a snapshot was made.
-constexpr std::uint64_t kLongestChain = 32;
+/// Generations whose changes are retained for peers; a peer that is further
+/// behind gets all records.
+constexpr std::size_t kMaxHistorySteps = 64;
+/// An instance that is further behind reads the snapshot. One that is only one
+/// change behind must not read everything because a new snapshot was made.
+constexpr std::uint64_t kMaxChainLength = 32;
 
 }  // namespace
 
 void ConfigFollower::OnHead(const store::Object& object) {
   if (object.version <= this->head_version) return;
-  const std::optional<Head> news = DecodeHead(object.value);
-  if (!news.has_value()) return;
-  this->head = *news;
+  const std::optional<Head> decoded = DecodeHead(object.value);
+  if (!decoded.has_value()) return;
+  this->head = *decoded;
   this->head_version = object.version;
   this->TryAdopt();
 }
 
 bool ConfigFollower::UsesSnapshot() const {
   if (this->head.snapshot.generation <= this->config.generation) return false;
-  const bool far =
-      this->head.generation - this->config.generation > kLongestChain;
-  return this->config.generation == 0 || far;
+  const bool far_behind =
+      this->head.generation - this->config.generation > kMaxChainLength;
+  return this->config.generation == 0 || far_behind;
 }
 
 std::string ConfigFollower::ChunkName(std::uint64_t chunk) const {
@@ -39,8 +39,9 @@
                                  ? this->head.snapshot.generation
                                  : this->config.generation;
   std::string name = this->head.delta;
-  for (std::uint64_t at = this->head.generation; at > base; --at) {
-    const auto found = this->chain.find(at);
+  for (std::uint64_t generation = this->head.generation; generation > base;
+       --generation) {
+    const auto found = this->chain.find(generation);
     if (found == this->chain.end()) return name;
     name = found->second.previous;
   }
@@ -50,9 +51,9 @@
 std::optional<store::ObjectKey> ConfigFollower::NextRead() const {
   if (this->UpToDate()) return std::nullopt;
   if (this->UsesSnapshot()) {
-    for (std::uint64_t at = 0; at < this->head.snapshot.chunks; ++at) {
-      if (this->chunks.contains(at)) continue;
-      return store::ObjectKey{kConfigCollection, this->ChunkName(at)};
+    for (std::uint64_t chunk = 0; chunk < this->head.snapshot.chunks; ++chunk) {
+      if (this->chunks.contains(chunk)) continue;
+      return store::ObjectKey{kConfigCollection, this->ChunkName(chunk)};
     }
   }
   const std::optional<std::string> delta = this->NextDelta();
@@ -62,17 +63,17 @@
 
 bool ConfigFollower::OnRead(const store::ObjectKey& key,
                             const store::ReadAnswer& answer) {
-  // Missing: the read is stale, or the head moved on; both pass.
+  // The read is stale, or the head changed; either resolves by itself.
   if (answer.status != store::ReadStatus::kFound) return false;
-  if (this->chunks_of != this->head.snapshot.name) {
+  if (this->chunks_snapshot != this->head.snapshot.name) {
     this->chunks.clear();
-    this->chunks_of = this->head.snapshot.name;
+    this->chunks_snapshot = this->head.snapshot.name;
   }
-  for (std::uint64_t at = 0; at < this->head.snapshot.chunks; ++at) {
-    if (key.name != this->ChunkName(at)) continue;
+  for (std::uint64_t chunk = 0; chunk < this->head.snapshot.chunks; ++chunk) {
+    if (key.name != this->ChunkName(chunk)) continue;
     std::optional<RecordMap> records = DecodeChunk(answer.object.value);
     if (!records.has_value()) return false;
-    this->chunks.insert_or_assign(at, std::move(*records));
+    this->chunks.insert_or_assign(chunk, std::move(*records));
     return this->TryAdopt();
   }
   std::optional<Delta> delta = DecodeDelta(answer.object.value);
@@ -82,10 +83,10 @@
   return this->TryAdopt();
 }
 
-void ConfigFollower::Remember(std::uint64_t generation,
-                              const ChangeMap& changes) {
+void ConfigFollower::AddToHistory(std::uint64_t generation,
+                                  const ChangeMap& changes) {
   this->history.push_back(Step{generation, changes});
-  if (this->history.size() > kKeptSteps) this->history.pop_front();
+  if (this->history.size() > kMaxHistorySteps) this->history.pop_front();
 }
 
 void ConfigFollower::Apply(std::uint64_t generation, const ChangeMap& changes) {
@@ -103,7 +104,7 @@
   for (const auto& [generation, delta] : this->chain) {
     if (generation <= above) continue;
     this->Apply(generation, delta.changes);
-    this->Remember(generation, delta.changes);
+    this->AddToHistory(generation, delta.changes);
   }
   this->chain.clear();
 }
@@ -112,11 +113,11 @@
   if (this->UpToDate() || this->NextDelta().has_value()) return false;
   const SnapshotName& snapshot = this->head.snapshot;
   if (this->UsesSnapshot()) {
-    const bool whole = this->chunks_of == snapshot.name &&
-                       this->chunks.size() == snapshot.chunks;
-    if (!whole) return false;
+    const bool complete = this->chunks_snapshot == snapshot.name &&
+                          this->chunks.size() == snapshot.chunks;
+    if (!complete) return false;
     this->config = Config{snapshot.generation, {}};
-    for (const auto& [at, records] : this->chunks) {
+    for (const auto& [chunk, records] : this->chunks) {
       this->config.records.insert(records.begin(), records.end());
     }
     this->chunks.clear();
@@ -126,14 +127,15 @@
   return true;
 }
 
-std::optional<PeerUpdate> ConfigFollower::UpdateFor(std::uint64_t have) const {
-  if (have >= this->config.generation) return std::nullopt;
-  PeerUpdate update{have, this->config.generation, {}};
-  const bool kept =
-      !this->history.empty() && this->history.front().generation <= have + 1;
-  if (kept) {
+std::optional<PeerUpdate> ConfigFollower::UpdateFor(
+    std::uint64_t peer_generation) const {
+  if (peer_generation >= this->config.generation) return std::nullopt;
+  PeerUpdate update{peer_generation, this->config.generation, {}};
+  const bool covered = !this->history.empty() &&
+                       this->history.front().generation <= peer_generation + 1;
+  if (covered) {
     for (const Step& step : this->history) {
-      if (step.generation <= have) continue;
+      if (step.generation <= peer_generation) continue;
       for (const auto& [name, value] : step.changes) {
         update.changes.insert_or_assign(name, value);
       }
@@ -156,9 +158,9 @@
     return false;
   }
   this->Apply(update.to, update.changes);
-  // Changes of several generations in one can't serve a peer in between.
+  // The merged changes of several generations can't serve a peer between them.
   if (update.to == update.from + 1) {
-    this->Remember(update.to, update.changes);
+    this->AddToHistory(update.to, update.changes);
   } else {
     this->history.clear();
   }
--- a/lib/control/lease.cc
+++ b/lib/control/lease.cc
@@ -10,8 +10,8 @@
 
 using store::ConditionalWrite;
 
-/// Stands for the holder in a lease object that can't be read. It is taken
-/// over after a full term like that of any holder that stopped renewing.
+/// Holder name for a lease object that can't be decoded. Such a lease is taken
+/// over after a full term, as from any holder that stopped renewing.
 constexpr const char* kUnreadableHolder = "unreadable";
 
 std::string ToText(const LeaseValue& value) {
@@ -19,27 +19,27 @@
       .dump();
 }
 
-LeaseValue FromText(const std::string& text, std::uint64_t least_fence) {
+LeaseValue FromText(const std::string& text, std::uint64_t min_fence) {
   const auto json = nlohmann::json::parse(text, nullptr, false);
-  const bool whole = json.is_object() && json.contains("holder") &&
+  const bool valid = json.is_object() && json.contains("holder") &&
                      json["holder"].is_string() && json.contains("fence") &&
                      json["fence"].is_number_unsigned();
-  if (!whole) return LeaseValue{kUnreadableHolder, least_fence};
+  if (!valid) return LeaseValue{kUnreadableHolder, min_fence};
   const std::uint64_t fence = json["fence"].get<std::uint64_t>();
   return LeaseValue{json["holder"].get<std::string>(),
-                    std::max(fence, least_fence)};
+                    std::max(fence, min_fence)};
 }
 
 }  // namespace
 
-Lease::Lease(LeaseSettings lease_settings, std::uint64_t word)
-    : settings(std::move(lease_settings)), random_word(word) {
+Lease::Lease(LeaseSettings lease_settings, std::uint64_t random)
+    : settings(std::move(lease_settings)), random_word(random) {
   assert(this->settings.margin < this->settings.term);
   assert(this->settings.renewal < this->settings.term - this->settings.margin);
 }
 
 bool Lease::HoldsObject() const {
-  return this->seen.holder == this->settings.holder;
+  return this->observed.holder == this->settings.holder;
 }
 
 store::Write Lease::MakeWrite(const LeaseValue& value) const {
@@ -47,36 +47,37 @@
                             std::to_string(this->random_word) + "-" +
                             std::to_string(this->writes);
   return store::Write{store::ObjectKey{"leases", this->settings.role}, token,
-                      this->seen_version, ToText(value)};
+                      this->observed_version, ToText(value)};
 }
 
-std::optional<store::Write> Lease::Wanted(TimePoint now) const {
-  if (!this->looked) return std::nullopt;
-  const LeaseValue mine{this->settings.holder, this->seen.fence};
+std::optional<store::Write> Lease::NextWrite(TimePoint now) const {
+  if (!this->object_was_read) return std::nullopt;
+  const LeaseValue own_value{this->settings.holder, this->observed.fence};
   if (this->released) {
     if (!this->HoldsObject()) return std::nullopt;
-    return this->MakeWrite(LeaseValue{"", this->seen.fence});
+    return this->MakeWrite(LeaseValue{"", this->observed.fence});
   }
   if (this->HoldsObject()) {
     const Duration usable = this->settings.term - this->settings.margin;
     const TimePoint renew_at =
         this->valid_until - usable + this->settings.renewal;
     if (now < renew_at) return std::nullopt;
-    return this->MakeWrite(mine);
+    return this->MakeWrite(own_value);
   }
-  const bool free = this->seen.holder.empty();
-  const bool lapsed = now - this->seen_at >= this->settings.term;
-  if (!free && !lapsed) return std::nullopt;
-  return this->MakeWrite(LeaseValue{mine.holder, mine.fence + 1});
+  const bool is_released = this->observed.holder.empty();
+  const bool expired = now - this->observed_at >= this->settings.term;
+  if (!is_released && !expired) return std::nullopt;
+  return this->MakeWrite(LeaseValue{own_value.holder, own_value.fence + 1});
 }
 
 std::optional<LeaseCall> Lease::Poll(TimePoint now) {
   if (this->outstanding) return std::nullopt;
   if (!this->attempt.has_value()) {
-    std::optional<store::Write> wanted = this->Wanted(now);
-    if (wanted.has_value()) {
-      const LeaseValue value = FromText(wanted->value, 0);
-      this->attempt = Attempt{ConditionalWrite(std::move(*wanted)), value, now};
+    std::optional<store::Write> next_write = this->NextWrite(now);
+    if (next_write.has_value()) {
+      const LeaseValue value = FromText(next_write->value, 0);
+      this->attempt =
+          Attempt{ConditionalWrite(std::move(*next_write)), value, now};
       ++this->writes;
     }
   }
@@ -88,19 +89,19 @@
     }
     return write;
   }
-  if (this->released || now < this->next_look) return std::nullopt;
+  if (this->released || now < this->next_read_at) return std::nullopt;
   this->outstanding = true;
-  this->next_look = now + this->settings.renewal;
+  this->next_read_at = now + this->settings.renewal;
   return store::ObjectKey{"leases", this->settings.role};
 }
 
-void Lease::See(const store::Object& object, TimePoint now) {
-  this->looked = true;
-  // Stale, or nothing new: the wait of a full term goes on.
-  if (object.version <= this->seen_version) return;
-  this->seen = FromText(object.value, this->seen.fence);
-  this->seen_version = object.version;
-  this->seen_at = now;
+void Lease::Observe(const store::Object& object, TimePoint now) {
+  this->object_was_read = true;
+  // Stale or unchanged: the wait for a full term continues.
+  if (object.version <= this->observed_version) return;
+  this->observed = FromText(object.value, this->observed.fence);
+  this->observed_version = object.version;
+  this->observed_at = now;
 }
 
 void Lease::OnRead(const store::ReadAnswer& answer, TimePoint now) {
@@ -111,10 +112,12 @@
     return;
   }
   if (answer.status == store::ReadStatus::kFound) {
-    this->See(answer.object, now);
+    this->Observe(answer.object, now);
   }
-  // Missing proves nothing once the object was seen: the read may be stale.
-  if (answer.status == store::ReadStatus::kMissing) this->looked = true;
+  // A missing object proves nothing once it was observed: the read may be
+  // stale.
+  if (answer.status == store::ReadStatus::kMissing)
+    this->object_was_read = true;
 }
 
 void Lease::OnWrite(const store::WriteAnswer& answer, TimePoint now) {
@@ -125,34 +128,35 @@
 }
 
 void Lease::SettleAttempt(TimePoint now) {
-  const Attempt& ended = *this->attempt;
-  if (ended.write.Next() == ConditionalWrite::Step::kApplied) {
-    this->seen = ended.value;
-    this->seen_version =
-        std::max(this->seen_version, ended.write.AppliedVersion());
-    this->seen_at = now;
+  const Attempt& completed = *this->attempt;
+  if (completed.write.Next() == ConditionalWrite::Step::kApplied) {
+    this->observed = completed.value;
+    this->observed_version =
+        std::max(this->observed_version, completed.write.AppliedVersion());
+    this->observed_at = now;
     const bool held = this->HoldsObject() && !this->released;
     if (held) {
-      // Counted from before the first try was sent: a challenger can't have
+      // Counts from before the first attempt was sent: a challenger can't have
       // seen the change earlier.
       this->valid_until =
-          ended.sent_at + this->settings.term - this->settings.margin;
-      this->held_fence = ended.value.fence;
+          completed.sent_at + this->settings.term - this->settings.margin;
+      this->held_fence = completed.value.fence;
     }
     this->attempt.reset();
     return;
   }
-  if (ended.write.Next() != ConditionalWrite::Step::kConflict) return;
+  if (completed.write.Next() != ConditionalWrite::Step::kConflict) return;
   this->valid_until = std::min(this->valid_until, now);
-  const std::optional<store::Object> obstacle = ended.write.ConflictingObject();
+  const std::optional<store::Object> conflicting_object =
+      completed.write.ConflictingObject();
   this->attempt.reset();
-  if (obstacle.has_value()) {
-    this->See(*obstacle, now);
+  if (conflicting_object.has_value()) {
+    this->Observe(*conflicting_object, now);
     return;
   }
-  // Somebody deleted the object. The fencing number must not start again.
-  this->seen = LeaseValue{"", this->seen.fence};
-  this->seen_version = 0;
+  // The object was deleted. The fencing number must not start again.
+  this->observed = LeaseValue{"", this->observed.fence};
+  this->observed_version = 0;
 }
 
 void Lease::Release() {
--- a/lib/control/publisher.cc
+++ b/lib/control/publisher.cc
@@ -8,8 +8,8 @@
 
 using store::ConditionalWrite;
 
-/// Generations between snapshots: at the target's 1,700 changes a day and
-/// 640 KB a snapshot, 0.4 KB a second in all.
+/// Generations between snapshots: at the target of 1,700 changes a day and 640
+/// KB a snapshot, 0.4 KB a second in all.
 constexpr std::uint64_t kSnapshotEvery = 32;
 
 }  // namespace
@@ -55,7 +55,8 @@
   head.records_revision = records_revision;
   ++head.generation;
   head.fence = lease_fence;
-  // The number of tokens keeps a second try of one term apart from the first.
+  // The number of tokens distinguishes a second attempt in one term from the
+  // first.
   const std::string suffix = std::to_string(head.generation) + "-" +
                              std::to_string(lease_fence) + "-" +
                              std::to_string(this->tokens);
@@ -72,8 +73,8 @@
 
 std::optional<LeaseCall> Publisher::Poll(const Lease& lease, TimePoint now) {
   if (!this->Busy() || this->outstanding) return std::nullopt;
-  const bool holds = lease.MayAct(now) && lease.Fence() == this->fence;
-  if (!holds) {
+  const bool holds_lease = lease.MayAct(now) && lease.Fence() == this->fence;
+  if (!holds_lease) {
     this->writes.clear();
     return std::nullopt;
   }
@@ -109,11 +110,11 @@
   }
   if (write.Next() != ConditionalWrite::Step::kApplied) return std::nullopt;
   const store::Write& request = write.Request();
-  const store::Object done{request.key, write.AppliedVersion(), request.writer,
-                           request.value};
+  const store::Object published{request.key, write.AppliedVersion(),
+                                request.writer, request.value};
   this->writes.pop_front();
   if (this->Busy()) return std::nullopt;
-  return done;
+  return published;
 }
 
 }  // namespace toucanwharf::control
--- a/unittests/control/config_test.cc
+++ b/unittests/control/config_test.cc
@@ -19,8 +19,8 @@
 
 constexpr Duration kMilli{std::chrono::milliseconds(1)};
 
-/// Takes any record but one that repeats another one's value, and removal of
-/// any but "base".
+/// Accepts any record except one that repeats another one's value, and the
+/// removal of any except "base".
 struct UniqueValues {
   Inspection Inspect(const RecordMap& records, const std::string& name) const {
     Inspection inspection{"v1", {}};
@@ -73,12 +73,12 @@
     }
   }
 
-  void Step(std::size_t index, std::uint32_t what, Fault fault) {
+  void Step(std::size_t index, std::uint32_t action, Fault fault) {
     Instance& instance = this->instances[index];
-    if (what == 0) this->StepLease(instance, fault);
-    if (what == 1) this->StepPublish(instance, fault);
-    if (what == 2) this->StepFollow(instance, fault);
-    if (what == 3) {
+    if (action == 0) this->StepLease(instance, fault);
+    if (action == 1) this->StepPublish(instance, fault);
+    if (action == 2) this->StepFollow(instance, fault);
+    if (action == 3) {
       const Instance& peer = this->instances[(index + 1) % 3];
       const auto update =
           peer.follower.UpdateFor(instance.follower.Current().generation);
@@ -155,7 +155,7 @@
     }
   }
 
-  /// I7: nobody goes back, and a generation is the same everywhere.
+  /// I7: no instance goes back, and a generation is the same everywhere.
   void Check(std::size_t index) {
     const Config& config = this->instances[index].follower.Current();
     RC_ASSERT(config.generation >= this->in_force[index]);
@@ -171,9 +171,9 @@
 
 // Operators write, change and delete records while the three routers fail to
 // reach the store, read stale copies, lose answers and are paused past their
-// lease while they publish. A user would see a change undone, or two routers
-// that serve the same generation differently.
-RC_BOOST_PROP(NoInstanceGoesBackAndGenerationsAreOne, ()) {
+// lease while they publish. Guards against a change that is undone, and against
+// two routers that serve the same generation differently.
+RC_BOOST_PROP(GenerationsNeverDecreaseAndAreTheSameEverywhere, ()) {
   Fleet fleet(3);
   const auto steps =
       *rc::gen::scale(15.0, rc::gen::container<std::vector<std::uint32_t>>(
@@ -206,7 +206,8 @@
 }
 
 // Forty changes are published one after the other. An instance that starts now
-// takes the snapshot and what came after it, and has the same as the others.
+// reads the snapshot and the later deltas, and has the same records as the
+// others.
 BOOST_AUTO_TEST_CASE(NewInstanceStartsFromTheSnapshot) {
   Fleet fleet(3);
   for (int change = 0; change < 40; ++change) {
@@ -241,7 +242,7 @@
 }
 
 // A new holder of the lease lists the records from a lagging replica, which
-// doesn't show the newest one yet. Publishing that would delete it everywhere.
+// lacks the newest one. Publishing that would delete the record everywhere.
 BOOST_AUTO_TEST_CASE(StaleListingOfRecordsIsNotPublished) {
   Fleet fleet(3);
   WriteRecord(fleet.map, "n", "1");
@@ -253,8 +254,8 @@
   BOOST_TEST(!publisher.Busy());
 }
 
-// A peer sends what changed since a generation that this instance doesn't
-// have. Taking it would leave out the changes in between.
+// A peer sends the changes since a generation that this instance doesn't have.
+// Applying them would leave out the changes in between.
 BOOST_AUTO_TEST_CASE(UpdateThatSkipsGenerationsIsRefused) {
   ConfigFollower follower;
   BOOST_TEST(follower.OnPeer({0, 3, {{"n", "1"}}}));
@@ -263,7 +264,7 @@
 }
 
 // The publisher is paused past its lease between the delta and the head. When
-// it wakes it makes no further call.
+// it resumes it makes no further call.
 BOOST_AUTO_TEST_CASE(PublisherStopsWhenItsLeaseIsOver) {
   Fleet fleet(3);
   WriteRecord(fleet.map, "n", "1");
@@ -283,8 +284,8 @@
 }
 
 // A publisher is paused before it writes the head. Meanwhile another holder
-// publishes. The first wakes within what it takes for its term, and its head
-// must not replace the other's.
+// publishes. The first resumes while it still assumes that its term holds, and
+// its head must not replace the other's.
 BOOST_AUTO_TEST_CASE(HeadOfAnotherPublisherStays) {
   ObjectMap map;
   ConfigFollower base;
@@ -292,8 +293,9 @@
   const TimePoint now{std::chrono::seconds(1)};
   lease.Poll(now);
   lease.OnRead(map.Read({"leases", "acceptance"}, Fault::kNone), now);
-  const auto take = lease.Poll(now);
-  lease.OnWrite(map.Write(std::get<store::Write>(*take), Fault::kNone), now);
+  const auto takeover = lease.Poll(now);
+  lease.OnWrite(map.Write(std::get<store::Write>(*takeover), Fault::kNone),
+                now);
   Publisher paused("paused");
   Publisher other("other");
   paused.Start(base, {{"n", "1"}}, 0, lease.Fence());
@@ -316,8 +318,8 @@
   BOOST_TEST(head.object.writer.find("other") == 0u);
 }
 
-// Two operators write records that exclude each other. The first stays, and
-// the second's status names it.
+// Two operators write records that exclude each other. The first stays, and the
+// second's status names it.
 BOOST_AUTO_TEST_CASE(FirstOfTwoConflictingRecordsStays) {
   ObjectMap map;
   WriteRecord(map, "z-first", "7");
@@ -331,7 +333,7 @@
   BOOST_TEST(status.reasons.at(0) == "same value as z-first");
 }
 
-// A record in a new schema comes during a rolling replacement. It waits, and
+// A record in a new schema arrives during a rolling replacement. It waits, and
 // its status names the instance that can't read it yet.
 BOOST_AUTO_TEST_CASE(RecordWaitsForInstancesThatCannotReadIt) {
   ObjectMap map;
--- a/unittests/control/lease_test.cc
+++ b/unittests/control/lease_test.cc
@@ -19,7 +19,7 @@
 
 constexpr Duration kSecond{std::chrono::seconds(1)};
 
-/// One process: its lease, its own clock's offset and a call on its way.
+/// One process: its lease, its clock's offset and its outstanding call.
 struct Actor {
   Lease lease;
   Duration offset;
@@ -30,7 +30,7 @@
   return now + actor.offset;
 }
 
-/// Lets \p actor make its next call, or takes the answer of the last one.
+/// Lets \p actor make its next call, or handle the answer of the last one.
 void TakeStep(Actor& actor, ObjectMap& map, TimePoint now, Fault fault) {
   const TimePoint local = LocalNow(actor, now);
   if (!actor.call.has_value()) {
@@ -71,11 +71,10 @@
   RC_ASSERT(holders <= 1);
 }
 
-// Three processes want the same role while calls fail, answers are lost,
-// writes land late, reads are stale, and any of them stops for longer than its
-// term. A user would see two publishers undo each other's work if two of them
-// believed at the same moment that they hold the role, or if a fencing number
-// were used twice.
+// Three processes want the same role while calls fail, answers are lost, writes
+// land late, reads are stale, and any of them stops for longer than its term.
+// Guards against two processes that hold the role at the same moment and undo
+// each other's work, and against a fencing number used twice.
 RC_BOOST_PROP(NeverTwoHoldersAndFencesRise, ()) {
   ObjectMap map;
   std::vector<Actor> actors = MakeActors();
@@ -86,7 +85,7 @@
   for (const int step : steps) {
     now = now + Duration(std::chrono::milliseconds(step / 15 * 5));
     if (step % 11 == 0) map.Land();
-    // A step that isn't taken is a pause of that process.
+    // Steps of the other processes are a pause of this one.
     const int kind = step / 3 % 10;
     const auto fault =
         kind < fakes::kFaults ? static_cast<Fault>(kind) : Fault::kNone;
@@ -103,8 +102,8 @@
 }
 
 // The holder is stopped (SIGSTOP) for longer than its term. Meanwhile another
-// process takes the role over. The first wakes and must not act, although
-// nobody has told it anything yet.
+// process takes over the role. The first resumes and must not act, although it
+// has received nothing yet.
 BOOST_AUTO_TEST_CASE(HolderPausedPastItsTermMayNotAct) {
   ObjectMap map;
   std::vector<Actor> actors = MakeActors();
@@ -117,8 +116,8 @@
   BOOST_TEST(actors[1].lease.Fence() > actors[0].lease.Fence());
 }
 
-// A planned stop gives the role back, and the next holder doesn't wait for
-// the term to end.
+// A planned stop releases the role, and the next holder doesn't wait for the
+// term to end.
 BOOST_AUTO_TEST_CASE(ReleasedRoleIsTakenAtOnce) {
   ObjectMap map;
   std::vector<Actor> actors = MakeActors();
@@ -131,8 +130,8 @@
   BOOST_TEST(actors[1].lease.MayAct(LocalNow(actors[1], now)));
 }
 
-// Somebody deletes the lease object. The next holder's number still rises, so
-// that an order of the one before it stays recognisable as old.
+// The lease object is deleted. The next holder's number still rises, so that an
+// order of the previous holder stays recognisable as old.
 BOOST_AUTO_TEST_CASE(FenceRisesAcrossADeletion) {
   ObjectMap map;
   std::vector<Actor> actors = MakeActors();
@@ -145,7 +144,7 @@
   BOOST_TEST(actors[1].lease.Fence() == 2u);
 }
 
-// The store is down: the holder's term ends by itself on its own clock.
+// The store is down: the holder's term ends on the holder's own clock.
 BOOST_AUTO_TEST_CASE(TermEndsDuringAnOutage) {
   ObjectMap map;
   std::vector<Actor> actors = MakeActors();
