--- a/include/toucanwharf/membership/broadcast_queue.h
+++ b/include/toucanwharf/membership/broadcast_queue.h
@@ -9,56 +9,57 @@
 
 namespace toucanwharf::membership {
 
-/// News that still has to be told, the least told first and of those the
-/// newest, so that a burst delays old news and not the latest.
-/// Thread safety: none; for one thread.
+/// Updates that still have to be sent, the least often sent first and of those
+/// the newest, so that a burst delays old updates and not the latest. Thread
+/// safety: none; for one thread.
 template <typename Key>
 class BroadcastQueue {
  public:
-  /// Queues \p key as news, told to nobody yet. What was queued for it before
-  /// is replaced.
+  /// Queues an update of \p key that was not sent yet. Replaces one that was
+  /// queued for it before.
   void Add(const Key& key) {
     this->Remove(key);
-    const Place place{0, --this->newest};
-    this->order.emplace(place, key);
-    this->places.emplace(key, place);
+    const Priority priority{0, --this->newest};
+    this->order.emplace(priority, key);
+    this->priorities.emplace(key, priority);
   }
 
-  /// Takes \p key from the queue.
+  /// Removes \p key from the queue.
   void Remove(const Key& key) {
-    const auto found = this->places.find(key);
-    if (found == this->places.end()) return;
+    const auto found = this->priorities.find(key);
+    if (found == this->priorities.end()) return;
     this->order.erase(found->second);
-    this->places.erase(found);
+    this->priorities.erase(found);
   }
 
-  /// Returns whether nothing is left to tell.
+  /// Returns whether no update is queued.
   bool Empty() const { return this->order.empty(); }
 
-  /// Offers keys in order to \p take, which returns whether there was room
-  /// for it. Those taken count one telling more and leave after \p most.
-  template <typename Take>
-  void Tell(std::uint32_t most, Take take) {
-    std::vector<std::pair<Place, Key>> told;
-    for (const auto& [place, key] : this->order) {
-      if (take(key)) told.emplace_back(place, key);
+  /// Offers keys in order to \p send, which returns whether it sent the key.
+  /// Counts one transmission for each key sent; a key leaves the queue after \p
+  /// max_transmissions.
+  template <typename Send>
+  void Transmit(std::uint32_t max_transmissions, Send send) {
+    std::vector<std::pair<Priority, Key>> sent;
+    for (const auto& [priority, key] : this->order) {
+      if (send(key)) sent.emplace_back(priority, key);
     }
-    for (const auto& [place, key] : told) {
+    for (const auto& [priority, key] : sent) {
       this->Remove(key);
-      if (place.first + 1 >= most) continue;
-      const Place next{place.first + 1, place.second};
+      if (priority.first + 1 >= max_transmissions) continue;
+      const Priority next{priority.first + 1, priority.second};
       this->order.emplace(next, key);
-      this->places.emplace(key, next);
+      this->priorities.emplace(key, next);
     }
   }
 
  private:
-  /// Times told, then minus the age.
-  using Place = std::pair<std::uint32_t, std::int64_t>;
+  /// Transmissions so far, then minus the age.
+  using Priority = std::pair<std::uint32_t, std::int64_t>;
 
   std::int64_t newest = 0;
-  std::map<Place, Key> order;
-  std::map<Key, Place> places;
+  std::map<Priority, Key> order;
+  std::map<Key, Priority> priorities;
 };
 
 }  // namespace toucanwharf::membership
--- a/include/toucanwharf/membership/membership.h
+++ b/include/toucanwharf/membership/membership.h
@@ -17,33 +17,33 @@
 /// Failure detection and gossip of one member, as a state machine: it takes
 /// time, messages and answers, and returns the probes to send.
 ///
-/// Load answered: each member sends one probe a period and gets one on
-/// average, whatever the size of the group. All-to-all heartbeats would grow
-/// with the square: 420 members at two a second would receive 840 messages a
-/// second each.
+/// Load: each member sends one probe a period and gets one on average, whatever
+/// the size of the group. All-to-all heartbeats would grow with the square: 420
+/// members at two a second would receive 840 messages a second each.
+///
 /// Thread safety: none; for one thread.
 class Membership {
  public:
-  /// Starts the member \p own. Its incarnation should be higher than in an
-  /// earlier life of the same id (such as the wall clock); if it isn't, the
-  /// first contact mends that.
-  Membership(const Settings& limits, const Member& own, Random seeded);
+  /// Starts the member \p own. Its incarnation should be higher than before a
+  /// restart with the same id (such as the wall clock); if it isn't, the first
+  /// contact corrects that.
+  Membership(const Settings& limits, const Member& own, Random random_source);
 
-  /// Does what is due at \p now; to be called a few times a period.
+  /// Runs what is due at \p now; to be called a few times a period.
   /// Precondition: \p now doesn't go back.
   std::vector<Probe> Tick(TimePoint now);
-  /// Takes in a probe and returns the answer to send back.
+  /// Handles a probe and returns the answer to send back.
   Message OnProbe(const Message& message, TimePoint now);
-  /// Takes in the answer to probe \p id, direct or passed on. Answers to
-  /// unknown or overdue probes still count as news.
+  /// Handles the answer to probe \p id, direct or indirect. The contents of
+  /// answers to unknown or overdue probes are applied as well.
   void OnAnswer(std::uint64_t id, const Message& message, TimePoint now);
-  /// Takes in the platform's list of instances. It only names whom to ask:
-  /// an entry never makes a member alive, for the list may be older than what
-  /// the member or its peers said since.
+  /// Sets the platform's list of instances, which only provides addresses to
+  /// probe: an entry never makes a member alive, because the list may be older
+  /// than what the member or its peers reported since.
   void OnList(const std::vector<Seed>& list);
   /// Announces that this member drains (I5).
   void Leave() { this->view.Leave(); }
-  /// Shares the own item; see View::Publish.
+  /// Publishes an item of this member; see View::Publish.
   bool Publish(ItemKind kind, const std::string& key,
                const std::string& value) {
     return this->view.Publish(kind, key, value);
@@ -51,7 +51,7 @@
 
   /// Returns the members that are not dead, itself included, by id.
   std::vector<Member> Present() const;
-  /// Returns what is believed.
+  /// Returns the current state of all members and items.
   const View& CurrentView() const { return this->view; }
 
  private:
@@ -59,27 +59,27 @@
     std::string target;
     std::string address;
     TimePoint started;
-    bool asked_others = false;
-    /// A try to reach someone not counted as present; proves nothing if it
-    /// fails.
+    bool indirect_probes_sent = false;
+    /// Sent to a member that does not count as present; its failure is no
+    /// evidence.
     bool seed = false;
   };
 
   void CheckPending(TimePoint now, std::vector<Probe>& probes);
-  void AskOthers(std::uint64_t id, Pending& pending,
-                 std::vector<Probe>& probes);
+  void SendIndirectProbes(std::uint64_t id, Pending& pending,
+                          std::vector<Probe>& probes);
   void StartPeriod(TimePoint now, std::vector<Probe>& probes);
   void ProbeNext(TimePoint now, std::vector<Probe>& probes);
   void ProbeSeed(TimePoint now, std::vector<Probe>& probes);
   void Send(const std::string& target, const std::string& address, bool seed,
             TimePoint now, std::vector<Probe>& probes);
   void Receive(const Message& message, TimePoint now);
-  void Suspect(const std::string& id, TimePoint now);
-  void ForgetLateProbes(TimePoint now);
+  void MarkSuspect(const std::string& id, TimePoint now);
+  void DropProbesAfterPause(TimePoint now);
   std::vector<std::string> Targets() const;
   std::vector<std::string> Neighbours() const;
-  Duration Patience() const;
-  Duration Stretched(Duration length) const;
+  Duration SuspicionTimeout() const;
+  Duration WithHealthPenalty(Duration length) const;
 
   Settings settings;
   View view;
@@ -91,16 +91,17 @@
   std::optional<TimePoint> last_tick;
   TimePoint next_period;
   std::uint64_t periods = 0;
-  /// Signs that this member itself is slow or badly linked, 0 to kWorst.
-  std::uint32_t own_trouble = 0;
-  bool compare = true;
+  /// Indications that this member itself is slow or badly connected, 0 to
+  /// kMaxHealthPenalty; lengthens its timeouts.
+  std::uint32_t health_penalty = 0;
+  bool compare_tables = true;
 };
 
-/// Returns the ids of the \p count members that watch endpoint \p endpoint,
-/// the first one publishing, by rendezvous hashing: when a member comes or
-/// goes, only what it watched or will watch moves. Each endpoint is polled by
-/// a few routers, not by all: 420 routers polling 800 runners once a second
-/// would be 336,000 calls a second.
+/// Returns the ids of the \p count members that watch endpoint \p endpoint, the
+/// first one publishing, by rendezvous hashing: when a member joins or leaves,
+/// only the endpoints move that it watched or will watch. Each endpoint is
+/// polled by a few routers, not by all: 420 routers polling 800 runners once a
+/// second would be 336,000 calls a second.
 std::vector<std::string> WatchersOf(const std::string& endpoint,
                                     const std::vector<Member>& present,
                                     std::size_t count);
--- a/include/toucanwharf/membership/view.h
+++ b/include/toucanwharf/membership/view.h
@@ -14,44 +14,44 @@
 
 namespace toucanwharf::membership {
 
-/// What one member believes of the others and of their items, and what it
-/// still has to tell.
-/// Thread safety: none; for one thread.
+/// One member's state of the others and of their items, and the updates that it
+/// still has to send. Thread safety: none; for one thread.
 class View {
  public:
-  /// Starts a view that holds only \p own.
+  /// Starts a view that contains only \p own.
   View(const Settings& limits, const Member& own);
 
   /// Returns the member itself.
   const Member& Self() const { return this->self; }
-  /// Returns the member \p id, or nothing if it is unknown. Not for itself.
+  /// Returns the member \p id, or null if it is unknown. Not for itself.
   const Member* Find(const std::string& id) const;
   /// Returns all others, dead ones too, by id.
   std::vector<Member> Others() const;
   /// Returns the number of members that are not dead, itself included.
   std::size_t Size() const;
 
-  /// Takes over \p claim if it says more than what is known. A claim about
-  /// itself that isn't its own word is answered by a higher incarnation.
-  /// Returns whether the claim was a false one about itself.
+  /// Applies \p claim if it supersedes the known state. A false claim about
+  /// this member itself is refuted by a higher incarnation. Returns whether the
+  /// claim was such a false one.
   bool Merge(const Member& claim, TimePoint now);
-  /// Takes over \p item if it is newer and its owner is known and not dead.
+  /// Applies \p item if it is newer and its owner is known and not dead.
   void Merge(const Item& item);
-  /// Declares dead whoever was a suspect for longer than \p patience, and
-  /// forgets those dead for long.
-  void Expire(TimePoint now, Duration patience);
-  /// Tells all that this member leaves.
+  /// Declares members dead that were suspects for longer than \p
+  /// suspicion_timeout, and removes those dead for longer than
+  /// Settings::forget_after.
+  void Expire(TimePoint now, Duration suspicion_timeout);
+  /// Announces to all that this member leaves.
   void Leave();
-  /// Gives the own item \p kind, \p key a new value. False if it would be one
-  /// item too many; take others back first.
+  /// Sets the value of this member's item \p kind, \p key. Returns false if it
+  /// would exceed the number of items; withdraw others first.
   bool Publish(ItemKind kind, const std::string& key, const std::string& value);
 
   /// Returns all items of \p kind whose owner is not dead.
   std::vector<Item> Items(ItemKind kind) const;
-  /// Returns a message with the news that fit. If \p compare, the room that is
-  /// left is filled with the next slice of the table.
-  Message NextMessage(bool compare);
-  /// Returns the hash of all that is believed, but for the dead.
+  /// Returns a message with the updates that fit. If \p compare_tables, the
+  /// free space is filled with the next slice of the table.
+  Message NextMessage(bool compare_tables);
+  /// Returns the hash of the whole state, except dead members.
   std::uint64_t Digest() const;
 
  private:
@@ -63,18 +63,18 @@
   bool RefuteIfFalse(const Member& claim);
   void Adopt(const Member& claim, TimePoint now);
   void DropItems(const std::string& owner);
-  bool OwnerCounts(const std::string& owner) const;
+  bool IsLiveOwner(const std::string& owner) const;
   std::size_t CountItems(const std::string& owner) const;
-  std::uint32_t MostTellings() const;
-  void AddSlice(Message& message, std::size_t room);
+  std::uint32_t MaxTransmissions() const;
+  void AddTableSlice(Message& message, std::size_t free_bytes);
 
   Settings settings;
   Member self;
   std::uint64_t next_version;
   std::map<std::string, Entry> entries;
   std::map<ItemKey, Item> items;
-  BroadcastQueue<std::string> member_news;
-  BroadcastQueue<ItemKey> item_news;
+  BroadcastQueue<std::string> member_updates;
+  BroadcastQueue<ItemKey> item_updates;
   std::string member_cursor;
   ItemKey item_cursor;
 };
--- a/lib/membership/membership.cc
+++ b/lib/membership/membership.cc
@@ -7,15 +7,15 @@
 namespace toucanwharf::membership {
 namespace {
 
-/// Ticks further apart than this many periods mean that the process stood
-/// still; what it waited for meanwhile proves nothing.
-constexpr int kPausePeriods = 2;
-/// A member with this many signs of own trouble waits 1 + kWorst times as
-/// long before it calls others dead. Bounded, so that the death of all others
-/// is still found.
-constexpr std::uint32_t kWorst = 3;
-/// Periods after which a probe that nobody answers is forgotten.
-constexpr int kSeedPeriods = 4;
+/// A gap of more periods than this between ticks means that the process was
+/// paused; missing answers from that time are no evidence.
+constexpr int kMaxTickGapPeriods = 2;
+/// Upper bound of the health penalty. A member with penalty n waits 1 + n times
+/// as long before it declares others dead; the bound ensures that the death of
+/// all others is still detected.
+constexpr std::uint32_t kMaxHealthPenalty = 3;
+/// Periods after which an unanswered probe to a seed is dropped.
+constexpr int kSeedProbePeriods = 4;
 
 template <typename T>
 void Shuffle(std::vector<T>& list, Random& random) {
@@ -37,65 +37,68 @@
 
 }  // namespace
 
-Membership::Membership(const Settings& limits, const Member& own, Random seeded)
-    : settings(limits), view(limits, own), random(seeded) {}
+Membership::Membership(const Settings& limits, const Member& own,
+                       Random random_source)
+    : settings(limits), view(limits, own), random(random_source) {}
 
 std::vector<Probe> Membership::Tick(TimePoint now) {
   std::vector<Probe> probes;
   if (!this->last_tick) this->next_period = now;
-  this->ForgetLateProbes(now);
+  this->DropProbesAfterPause(now);
   this->last_tick = now;
   this->CheckPending(now, probes);
-  this->view.Expire(now, this->Patience());
+  this->view.Expire(now, this->SuspicionTimeout());
   if (now >= this->next_period) this->StartPeriod(now, probes);
   return probes;
 }
 
-void Membership::ForgetLateProbes(TimePoint now) {
+void Membership::DropProbesAfterPause(TimePoint now) {
   if (!this->last_tick) return;
-  if (now - *this->last_tick <= kPausePeriods * this->settings.period) return;
-  // Failure: a router that was stopped wakes up, finds all its probes overdue
-  // and declares healthy members suspect. Their answers may be in its sockets,
-  // unread. So the time that it stood still is not held against others.
+  if (now - *this->last_tick <= kMaxTickGapPeriods * this->settings.period)
+    return;
+  // Guards against a router that was stopped, resumes, finds all its probes
+  // overdue and declares healthy members suspect. Their answers may be unread
+  // in its sockets. So the time of the pause doesn't count against others.
   this->pending.clear();
-  this->own_trouble = kWorst;
+  this->health_penalty = kMaxHealthPenalty;
   this->next_period = now;
 }
 
 void Membership::CheckPending(TimePoint now, std::vector<Probe>& probes) {
-  for (auto at = this->pending.begin(); at != this->pending.end();) {
-    Pending& probe = at->second;
+  for (auto it = this->pending.begin(); it != this->pending.end();) {
+    Pending& probe = it->second;
     const Duration age = now - probe.started;
     if (probe.seed) {
-      const bool over = age > kSeedPeriods * this->settings.period;
-      at = over ? this->pending.erase(at) : std::next(at);
+      const bool expired = age > kSeedProbePeriods * this->settings.period;
+      it = expired ? this->pending.erase(it) : std::next(it);
       continue;
     }
-    if (!probe.asked_others &&
-        age > this->Stretched(this->settings.probe_timeout)) {
-      this->AskOthers(at->first, probe, probes);
+    if (!probe.indirect_probes_sent &&
+        age > this->WithHealthPenalty(this->settings.probe_timeout)) {
+      this->SendIndirectProbes(it->first, probe, probes);
     }
-    if (age <= this->Stretched(this->settings.period)) {
-      ++at;
+    if (age <= this->WithHealthPenalty(this->settings.period)) {
+      ++it;
       continue;
     }
-    this->own_trouble = std::min(this->own_trouble + 1, kWorst);
-    this->Suspect(probe.target, now);
-    at = this->pending.erase(at);
+    this->health_penalty =
+        std::min(this->health_penalty + 1, kMaxHealthPenalty);
+    this->MarkSuspect(probe.target, now);
+    it = this->pending.erase(it);
   }
 }
 
-void Membership::AskOthers(std::uint64_t id, Pending& probe,
-                           std::vector<Probe>& probes) {
-  probe.asked_others = true;
-  std::vector<std::string> helpers = this->Targets();
-  std::erase(helpers, probe.target);
-  Shuffle(helpers, this->random);
-  if (helpers.size() > this->settings.indirect_probes) {
-    helpers.resize(this->settings.indirect_probes);
+void Membership::SendIndirectProbes(std::uint64_t id, Pending& probe,
+                                    std::vector<Probe>& probes) {
+  probe.indirect_probes_sent = true;
+  std::vector<std::string> relays = this->Targets();
+  std::erase(relays, probe.target);
+  Shuffle(relays, this->random);
+  if (relays.size() > this->settings.indirect_probes) {
+    relays.resize(this->settings.indirect_probes);
   }
-  for (const std::string& helper : helpers) {
-    probes.push_back(Probe{id, probe.address, this->view.Find(helper)->address,
+  for (const std::string& relay : relays) {
+    probes.push_back(Probe{id, probe.address, this->view.Find(relay)->address,
                            this->view.NextMessage(false)});
   }
 }
@@ -110,7 +113,7 @@
 
 void Membership::ProbeNext(TimePoint now, std::vector<Probe>& probes) {
   // Round robin over a shuffled list: each member is probed once a round, so
-  // the time until a death is noticed is bounded, not only expected.
+  // the time until a death is detected is bounded, not only expected.
   while (true) {
     if (this->round.empty()) {
       this->round = this->Neighbours();
@@ -137,12 +140,13 @@
     if (member.status != Status::kDead) continue;
     dead.push_back(Seed{member.id, member.address});
   }
-  // Someone never heard of is tried each period, so that a new instance joins
-  // at once; the dead rarely, to find the other half after a partition.
+  // A member never contacted is probed each period, so that a new instance
+  // joins immediately; dead ones rarely, to reach the other half after a
+  // partition.
   if (this->periods % this->settings.reconnect_periods != 0) dead.clear();
-  std::vector<Seed>& choice = unknown.empty() ? dead : unknown;
-  if (choice.empty()) return;
-  const Seed& seed = choice[this->random.Below(choice.size())];
+  std::vector<Seed>& candidates = unknown.empty() ? dead : unknown;
+  if (candidates.empty()) return;
+  const Seed& seed = candidates[this->random.Below(candidates.size())];
   this->Send(seed.id, seed.address, true, now, probes);
 }
 
@@ -150,9 +154,9 @@
                       bool seed, TimePoint now, std::vector<Probe>& probes) {
   const std::uint64_t id = ++this->next_probe;
   this->pending[id] = Pending{target, address, now, false, seed};
-  Message message = this->view.NextMessage(this->compare);
+  Message message = this->view.NextMessage(this->compare_tables);
   const Member* known = this->view.Find(target);
-  // Whoever is believed dead or a suspect must hear it to deny it.
+  // A member in state dead or suspect must receive that claim to refute it.
   if (known != nullptr && known->status != Status::kAlive) {
     message.members.push_back(*known);
   }
@@ -161,7 +165,7 @@
 
 Message Membership::OnProbe(const Message& message, TimePoint now) {
   this->Receive(message, now);
-  Message answer = this->view.NextMessage(this->compare);
+  Message answer = this->view.NextMessage(this->compare_tables);
   const Member* sender = this->view.Find(message.sender.id);
   if (sender != nullptr && sender->status != Status::kAlive) {
     answer.members.push_back(*sender);
@@ -174,10 +178,10 @@
   this->Receive(message, now);
   const auto found = this->pending.find(id);
   if (found == this->pending.end()) return;
-  // Another instance may have taken over the address; its answer is no sign
-  // of life of the one that was meant.
+  // Another instance may have taken over the address; its answer is no evidence
+  // that the target is alive.
   if (found->second.target != message.sender.id) return;
-  if (!found->second.seed && this->own_trouble > 0) --this->own_trouble;
+  if (!found->second.seed && this->health_penalty > 0) --this->health_penalty;
   this->pending.erase(found);
 }
 
@@ -185,13 +189,15 @@
   this->view.Merge(message.sender, now);
   for (const Member& claim : message.members) {
     const bool refuted = this->view.Merge(claim, now);
-    if (refuted) this->own_trouble = std::min(this->own_trouble + 1, kWorst);
+    if (refuted)
+      this->health_penalty =
+          std::min(this->health_penalty + 1, kMaxHealthPenalty);
   }
   for (const Item& item : message.items) this->view.Merge(item);
-  this->compare = message.digest != this->view.Digest();
+  this->compare_tables = message.digest != this->view.Digest();
 }
 
-void Membership::Suspect(const std::string& id, TimePoint now) {
+void Membership::MarkSuspect(const std::string& id, TimePoint now) {
   const Member* member = this->view.Find(id);
   if (member == nullptr || member->status != Status::kAlive) return;
   Member suspect = *member;
@@ -225,8 +231,8 @@
 std::vector<std::string> Membership::Neighbours() const {
   std::vector<std::string> targets = this->Targets();
   if (targets.size() <= this->settings.neighbours) return targets;
-  // The next by id makes sure that each member is probed by someone, also if
-  // nobody's hash chose it.
+  // Probing the next member by id ensures that each member is probed by some
+  // other, even if no member's hash chose it.
   const std::string& self = this->view.Self().id;
   const auto after = std::upper_bound(targets.begin(), targets.end(), self);
   const std::string next = after == targets.end() ? targets.front() : *after;
@@ -241,14 +247,14 @@
   return targets;
 }
 
-Duration Membership::Patience() const {
+Duration Membership::SuspicionTimeout() const {
   const auto rounds = std::bit_width(this->view.Size());
-  return this->Stretched(this->settings.period *
-                         (this->settings.suspicion_factor * rounds));
+  return this->WithHealthPenalty(this->settings.period *
+                                 (this->settings.suspicion_factor * rounds));
 }
 
-Duration Membership::Stretched(Duration length) const {
-  return length * (1 + this->own_trouble);
+Duration Membership::WithHealthPenalty(Duration length) const {
+  return length * (1 + this->health_penalty);
 }
 
 std::vector<std::string> WatchersOf(const std::string& endpoint,
--- a/lib/membership/view.cc
+++ b/lib/membership/view.cc
@@ -8,12 +8,12 @@
 namespace toucanwharf::membership {
 namespace {
 
-/// Tags, lengths and numbers of one entry in a message.
+/// Bytes of the tags, lengths and numbers of one entry in a message.
 constexpr std::size_t kMemberOverhead = 22;
 constexpr std::size_t kItemOverhead = 18;
-/// Of the room in a message, what the comparison of tables may use for
-/// members; the rest goes to items.
-constexpr std::size_t kSliceParts = 2;
+/// One part in this many of a message's free space goes to members when tables
+/// are compared; the rest goes to items.
+constexpr std::size_t kTableSliceParts = 2;
 
 std::uint64_t HashText(std::uint64_t state, const std::string& text) {
   for (const char letter : text) {
@@ -62,11 +62,11 @@
 }
 
 std::size_t View::Size() const {
-  const auto here = [](const auto& named) {
+  const auto not_dead = [](const auto& named) {
     return named.second.member.status != Status::kDead;
   };
   const auto others =
-      std::count_if(this->entries.begin(), this->entries.end(), here);
+      std::count_if(this->entries.begin(), this->entries.end(), not_dead);
   return static_cast<std::size_t>(others) + 1;
 }
 
@@ -74,10 +74,10 @@
   const bool false_claim =
       claim.incarnation >= this->self.incarnation && claim != this->self;
   if (!false_claim) return false;
-  // Suspected or declared dead while alive, or started again under the same
-  // id: others believe the older word until a higher incarnation is heard.
+  // Suspected or declared dead while alive, or restarted under the same id: the
+  // others use the older claim until they receive a higher incarnation.
   this->self.incarnation = claim.incarnation + 1;
-  this->member_news.Add(this->self.id);
+  this->member_updates.Add(this->self.id);
   return true;
 }
 
@@ -85,7 +85,7 @@
   if (claim.id == this->self.id) return this->RefuteIfFalse(claim);
   const auto found = this->entries.find(claim.id);
   const bool unknown = found == this->entries.end();
-  // A death of someone unknown is no news: it may be one that was forgotten.
+  // Ignores the death of an unknown member: it may have been removed already.
   if (unknown && claim.status == Status::kDead) return false;
   if (!unknown && !Supersedes(claim, found->second.member)) return false;
   this->Adopt(claim, now);
@@ -94,7 +94,7 @@
 
 void View::Adopt(const Member& claim, TimePoint now) {
   this->entries[claim.id] = Entry{claim, now};
-  this->member_news.Add(claim.id);
+  this->member_updates.Add(claim.id);
   if (claim.status == Status::kDead) this->DropItems(claim.id);
 }
 
@@ -104,16 +104,16 @@
     const bool older =
         own == this->items.end() || own->second.version < item.version;
     if (!older) return;
-    // Left from before a restart under the same id: go above it, so that the
-    // values of now win.
+    // From before a restart under the same id: uses a higher version, so that
+    // the current values win.
     this->next_version = std::max(this->next_version, item.version);
     Item fresh{item.name, ++this->next_version, ""};
     if (own != this->items.end()) fresh.value = own->second.value;
     this->items[item.name] = fresh;
-    this->item_news.Add(item.name);
+    this->item_updates.Add(item.name);
     return;
   }
-  if (!this->OwnerCounts(item.name.owner)) return;
+  if (!this->IsLiveOwner(item.name.owner)) return;
   const auto found = this->items.find(item.name);
   if (found != this->items.end()) {
     if (found->second.version >= item.version) return;
@@ -122,10 +122,10 @@
     return;
   }
   this->items[item.name] = item;
-  this->item_news.Add(item.name);
+  this->item_updates.Add(item.name);
 }
 
-bool View::OwnerCounts(const std::string& owner) const {
+bool View::IsLiveOwner(const std::string& owner) const {
   if (owner == this->self.id) return true;
   const Member* member = this->Find(owner);
   return member != nullptr && member->status != Status::kDead;
@@ -133,36 +133,36 @@
 
 std::size_t View::CountItems(const std::string& owner) const {
   std::size_t count = 0;
-  for (auto at = this->items.lower_bound(ItemKey{owner, {}, ""});
-       at != this->items.end() && at->first.owner == owner; ++at) {
+  for (auto it = this->items.lower_bound(ItemKey{owner, {}, ""});
+       it != this->items.end() && it->first.owner == owner; ++it) {
     ++count;
   }
   return count;
 }
 
 void View::DropItems(const std::string& owner) {
-  auto at = this->items.lower_bound(ItemKey{owner, {}, ""});
-  while (at != this->items.end() && at->first.owner == owner) {
-    this->item_news.Remove(at->first);
-    at = this->items.erase(at);
+  auto it = this->items.lower_bound(ItemKey{owner, {}, ""});
+  while (it != this->items.end() && it->first.owner == owner) {
+    this->item_updates.Remove(it->first);
+    it = this->items.erase(it);
   }
 }
 
-void View::Expire(TimePoint now, Duration patience) {
-  for (auto at = this->entries.begin(); at != this->entries.end();) {
-    const Member& member = at->second.member;
-    const Duration age = now - at->second.since;
+void View::Expire(TimePoint now, Duration suspicion_timeout) {
+  for (auto it = this->entries.begin(); it != this->entries.end();) {
+    const Member& member = it->second.member;
+    const Duration age = now - it->second.since;
     if (member.status == Status::kDead && age > this->settings.forget_after) {
-      this->member_news.Remove(member.id);
-      at = this->entries.erase(at);
+      this->member_updates.Remove(member.id);
+      it = this->entries.erase(it);
       continue;
     }
-    if (member.status == Status::kSuspect && age > patience) {
+    if (member.status == Status::kSuspect && age > suspicion_timeout) {
       Member dead = member;
       dead.status = Status::kDead;
       this->Adopt(dead, now);
     }
-    ++at;
+    ++it;
   }
 }
 
@@ -170,7 +170,7 @@
   if (this->self.leaving) return;
   this->self.leaving = true;
   ++this->self.incarnation;
-  this->member_news.Add(this->self.id);
+  this->member_updates.Add(this->self.id);
 }
 
 bool View::Publish(ItemKind kind, const std::string& key,
@@ -183,7 +183,7 @@
     return false;
   }
   this->items[name] = Item{name, ++this->next_version, value};
-  this->item_news.Add(name);
+  this->item_updates.Add(name);
   return true;
 }
 
@@ -195,58 +195,58 @@
   return found;
 }
 
-std::uint32_t View::MostTellings() const {
+std::uint32_t View::MaxTransmissions() const {
   const auto rounds = static_cast<std::uint32_t>(std::bit_width(this->Size()));
   return this->settings.retransmit_factor * rounds;
 }
 
-Message View::NextMessage(bool compare) {
+Message View::NextMessage(bool compare_tables) {
   Message message;
   message.sender = this->self;
   message.digest = this->Digest();
-  std::size_t room = this->settings.message_bytes;
-  const auto fits = [&room](std::size_t size) {
-    if (size > room) return false;
-    room -= size;
+  std::size_t free_bytes = this->settings.message_bytes;
+  const auto fits = [&free_bytes](std::size_t size) {
+    if (size > free_bytes) return false;
+    free_bytes -= size;
     return true;
   };
-  const std::uint32_t most = this->MostTellings();
-  this->member_news.Tell(most, [&](const std::string& id) {
-    // The sender's own entry travels in each message anyway.
+  const std::uint32_t max_transmissions = this->MaxTransmissions();
+  this->member_updates.Transmit(max_transmissions, [&](const std::string& id) {
+    // The sender's own entry is in each message anyway.
     if (id == this->self.id) return true;
     const Member& member = this->entries.at(id).member;
     if (!fits(EncodedSize(member))) return false;
     message.members.push_back(member);
     return true;
   });
-  this->item_news.Tell(most, [&](const ItemKey& name) {
+  this->item_updates.Transmit(max_transmissions, [&](const ItemKey& name) {
     const Item& item = this->items.at(name);
     if (!fits(EncodedSize(item))) return false;
     message.items.push_back(item);
     return true;
   });
-  if (compare) this->AddSlice(message, room);
+  if (compare_tables) this->AddTableSlice(message, free_bytes);
   return message;
 }
 
-void View::AddSlice(Message& message, std::size_t room) {
-  std::size_t members_room = room / kSliceParts;
+void View::AddTableSlice(Message& message, std::size_t free_bytes) {
+  std::size_t member_bytes = free_bytes / kTableSliceParts;
   auto member = this->entries.upper_bound(this->member_cursor);
   for (std::size_t seen = 0; seen < this->entries.size(); ++seen, ++member) {
     if (member == this->entries.end()) member = this->entries.begin();
     const std::size_t size = EncodedSize(member->second.member);
-    if (size > members_room) break;
-    members_room -= size;
+    if (size > member_bytes) break;
+    member_bytes -= size;
     message.members.push_back(member->second.member);
     this->member_cursor = member->first;
   }
-  std::size_t items_room = room - room / kSliceParts;
+  std::size_t item_bytes = free_bytes - free_bytes / kTableSliceParts;
   auto item = this->items.upper_bound(this->item_cursor);
   for (std::size_t seen = 0; seen < this->items.size(); ++seen, ++item) {
     if (item == this->items.end()) item = this->items.begin();
     const std::size_t size = EncodedSize(item->second);
-    if (size > items_room) break;
-    items_room -= size;
+    if (size > item_bytes) break;
+    item_bytes -= size;
     message.items.push_back(item->second);
     this->item_cursor = item->first;
   }
--- a/unittests/membership/group.h
+++ b/unittests/membership/group.h
@@ -17,7 +17,7 @@
 namespace toucanwharf::membership {
 
 /// Members in one process, and a network between them that loses, delays,
-/// doubles and parts messages as told.
+/// duplicates and partitions messages as configured.
 class Group {
  public:
   using Link = std::function<bool(const std::string&, const std::string&)>;
@@ -38,7 +38,7 @@
   Membership& At(const std::string& id) { return this->members.at(id); }
   bool Runs(const std::string& id) const { return this->members.contains(id); }
 
-  /// Lets \p periods periods pass, a tenth of one at a time.
+  /// Simulates \p periods periods in steps of a tenth of one.
   void Run(std::size_t periods) {
     constexpr int kSteps = 10;
     const Duration step = Settings{}.period / kSteps;
@@ -54,16 +54,16 @@
     }
   }
 
-  /// Returns what \p id believes of \p other.
-  std::optional<Status> Belief(const std::string& id,
-                               const std::string& other) const {
+  /// Returns the state of \p other at \p id.
+  std::optional<Status> StatusAt(const std::string& id,
+                                 const std::string& other) const {
     const Member* member = this->members.at(id).CurrentView().Find(other);
     if (member == nullptr) return std::nullopt;
     return member->status;
   }
-  bool AllBelieve(const std::string& other, Status status) const {
+  bool AllHaveStatus(const std::string& other, Status status) const {
     for (const auto& [id, member] : this->members) {
-      if (id != other && this->Belief(id, other) != status) return false;
+      if (id != other && this->StatusAt(id, other) != status) return false;
     }
     return true;
   }
@@ -76,7 +76,7 @@
   }
 
   double loss = 0.0;
-  double doubled = 0.0;
+  double duplicated = 0.0;
   /// Longest delay of a message in steps.
   std::uint64_t delay = 1;
   Link connected = [](const std::string&, const std::string&) { return true; };
@@ -84,12 +84,12 @@
   std::uint64_t bytes = 0;
 
  private:
-  struct Flight {
+  struct Packet {
     std::string from;
     std::string to;
     std::uint64_t id = 0;
     bool answer = false;
-    /// Came through a third member, and so goes its answer.
+    /// Came through a third member, as will its answer.
     bool relayed = false;
     Message message;
   };
@@ -101,59 +101,60 @@
   }
 
   void SendProbe(const std::string& from, const Probe& probe) {
-    // A message passed on crosses two links.
+    // An indirect message crosses two links.
     if (!probe.via.empty()) {
-      const bool helper = this->members.contains(probe.via) &&
-                          !this->paused.contains(probe.via) &&
-                          this->connected(from, probe.via);
-      if (!helper || !this->connected(probe.via, probe.address)) return;
+      const bool relay_reachable = this->members.contains(probe.via) &&
+                                   !this->paused.contains(probe.via) &&
+                                   this->connected(from, probe.via);
+      if (!relay_reachable || !this->connected(probe.via, probe.address))
+        return;
       this->Post(
-          Flight{from, probe.address, probe.id, false, true, probe.message});
+          Packet{from, probe.address, probe.id, false, true, probe.message});
       return;
     }
     this->Post(
-        Flight{from, probe.address, probe.id, false, false, probe.message});
+        Packet{from, probe.address, probe.id, false, false, probe.message});
   }
 
-  void Post(const Flight& flight) {
-    if (!flight.relayed && !this->connected(flight.from, flight.to)) return;
-    for (const Member& member : flight.message.members) {
+  void Post(const Packet& packet) {
+    if (!packet.relayed && !this->connected(packet.from, packet.to)) return;
+    for (const Member& member : packet.message.members) {
       this->bytes += EncodedSize(member);
     }
-    for (const Item& item : flight.message.items) {
+    for (const Item& item : packet.message.items) {
       this->bytes += EncodedSize(item);
     }
     if (this->random.Unit() < this->loss) return;
     const Duration step = Settings{}.period / 10;
-    const int copies = this->random.Unit() < this->doubled ? 2 : 1;
+    const int copies = this->random.Unit() < this->duplicated ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
       const auto steps = static_cast<int>(this->random.Below(this->delay));
-      this->flights.emplace(this->now + steps * step, flight);
+      this->packets.emplace(this->now + steps * step, packet);
     }
   }
 
   void Deliver() {
-    std::vector<Flight> waiting;
-    while (!this->flights.empty() &&
-           this->flights.begin()->first <= this->now) {
-      const Flight flight = this->flights.begin()->second;
-      this->flights.erase(this->flights.begin());
-      const auto target = this->members.find(flight.to);
+    std::vector<Packet> waiting;
+    while (!this->packets.empty() &&
+           this->packets.begin()->first <= this->now) {
+      const Packet packet = this->packets.begin()->second;
+      this->packets.erase(this->packets.begin());
+      const auto target = this->members.find(packet.to);
       if (target == this->members.end()) continue;
-      if (this->paused.contains(flight.to)) {
-        waiting.push_back(flight);
+      if (this->paused.contains(packet.to)) {
+        waiting.push_back(packet);
         continue;
       }
-      if (flight.answer) {
-        target->second.OnAnswer(flight.id, flight.message, this->now);
+      if (packet.answer) {
+        target->second.OnAnswer(packet.id, packet.message, this->now);
         continue;
       }
-      const Message answer = target->second.OnProbe(flight.message, this->now);
-      this->Post(Flight{flight.to, flight.from, flight.id, true, flight.relayed,
+      const Message answer = target->second.OnProbe(packet.message, this->now);
+      this->Post(Packet{packet.to, packet.from, packet.id, true, packet.relayed,
                         answer});
     }
-    for (const Flight& flight : waiting) {
-      this->flights.emplace(this->now + Settings{}.period, flight);
+    for (const Packet& packet : waiting) {
+      this->packets.emplace(this->now + Settings{}.period, packet);
     }
   }
 
@@ -161,7 +162,7 @@
   TimePoint now;
   std::map<std::string, Membership> members;
   std::set<std::string> list;
-  std::multimap<TimePoint, Flight> flights;
+  std::multimap<TimePoint, Packet> packets;
 };
 
 }  // namespace toucanwharf::membership
--- a/unittests/membership/membership_test.cc
+++ b/unittests/membership/membership_test.cc
@@ -15,21 +15,23 @@
 
 constexpr std::size_t kJoinPeriods = 40;
 
-/// Longest patience with a suspect (factor 3, 4 rounds, stretched 4 times) and
-/// the periods until the news is everywhere.
-constexpr std::size_t kPatienceAndNews = 48 + 20;
+/// Longest suspicion timeout (factor 3, 4 rounds, 4 times as long with the full
+/// health penalty) and the periods until an update reaches all members.
+constexpr std::size_t kSuspicionAndSpreadPeriods = 48 + 20;
 
 /// Periods until a death is known everywhere, after each has been probed once.
-std::size_t DeathPeriods(std::size_t size) { return size + kPatienceAndNews; }
+std::size_t DeathPeriods(std::size_t size) {
+  return size + kSuspicionAndSpreadPeriods;
+}
 
-bool HalvesApart(const std::string& left, const std::string& right) {
+bool SameHalf(const std::string& left, const std::string& right) {
   const auto half = [](const std::string& id) {
     return std::stoul(id.substr(1)) % 2;
   };
   return half(left) == half(right);
 }
 
-BOOST_AUTO_TEST_CASE(AllMeetFromTheListAlone) {
+BOOST_AUTO_TEST_CASE(AllMembersJoinFromTheListAlone) {
   for (const std::size_t size : {2U, 6U, 24U}) {
     Group group(size, size);
     group.Run(kJoinPeriods);
@@ -43,24 +45,24 @@
   Group group(size, *rc::gen::arbitrary<std::uint64_t>());
   group.Run(kJoinPeriods);
   group.loss = *rc::gen::element(0.0, 0.1, 0.2);
-  group.doubled = 0.1;
+  group.duplicated = 0.1;
   group.delay = *rc::gen::inRange<std::uint64_t>(1, 3);
   group.Kill("r1");
   group.Run(DeathPeriods(size));
-  RC_ASSERT(group.AllBelieve("r1", Status::kDead));
+  RC_ASSERT(group.AllHaveStatus("r1", Status::kDead));
 }
 
-RC_BOOST_PROP(ALiveMemberIsNotDeadForGood, ()) {
+RC_BOOST_PROP(ALiveMemberDoesNotStayDead, ()) {
   const auto size = *rc::gen::inRange<std::size_t>(3, 10);
   Group group(size, *rc::gen::arbitrary<std::uint64_t>());
   group.Run(kJoinPeriods);
-  group.doubled = 0.2;
+  group.duplicated = 0.2;
   const auto faults = *rc::gen::inRange(1, 4);
   for (int fault = 0; fault < faults; ++fault) {
     group.loss = *rc::gen::element(0.0, 0.3, 0.6);
     group.delay = *rc::gen::inRange<std::uint64_t>(1, 20);
     if (*rc::gen::arbitrary<bool>()) group.paused.insert("r1");
-    if (*rc::gen::arbitrary<bool>()) group.connected = HalvesApart;
+    if (*rc::gen::arbitrary<bool>()) group.connected = SameHalf;
     group.Run(*rc::gen::inRange<std::size_t>(1, 60));
     group.paused.clear();
     group.connected = [](const auto&, const auto&) { return true; };
@@ -69,28 +71,28 @@
   group.delay = 1;
   group.Run(120);
   for (std::size_t at = 0; at < size; ++at) {
-    RC_ASSERT(group.AllBelieve(Group::Name(at), Status::kAlive));
+    RC_ASSERT(group.AllHaveStatus(Group::Name(at), Status::kAlive));
   }
   RC_ASSERT(group.AllAgree());
 }
 
-BOOST_AUTO_TEST_CASE(EveryDeathInALargeGroupIsNoticed) {
-  // In a group where each watches only some, a router dies that nobody's hash
-  // chose to watch; its address would stay in the entry advice for ever.
+BOOST_AUTO_TEST_CASE(EveryDeathInALargeGroupIsDetected) {
+  // In a group where each member probes only some, a router dies that no
+  // member's hash chose; its address would stay in the entry advice forever.
   constexpr std::size_t kLarge = 40;
   Group group(kLarge, 8);
   group.Run(4 * kJoinPeriods);
   for (const char* id : {"r3", "r17", "r29", "r39"}) {
     group.Kill(id);
     group.Run(DeathPeriods(kLarge));
-    BOOST_TEST(group.AllBelieve(id, Status::kDead));
+    BOOST_TEST(group.AllHaveStatus(id, Status::kDead));
   }
   BOOST_TEST(group.AllAgree());
 }
 
-BOOST_AUTO_TEST_CASE(OneBadLinkIsNoDeath) {
+BOOST_AUTO_TEST_CASE(OneBadLinkDoesNotMakeAMemberDead) {
   // Two routers can't reach each other though both serve. Without indirect
-  // probes each would be declared dead by the other, deny it, and so on, and
+  // probes each would be declared dead by the other, refute it, and so on, and
   // every router would see its pool of peers flap.
   Group group(6, 3);
   group.Run(kJoinPeriods);
@@ -100,26 +102,26 @@
   };
   for (int round = 0; round < 60; ++round) {
     group.Run(1);
-    BOOST_TEST(group.AllBelieve("r1", Status::kAlive));
-    BOOST_TEST(group.AllBelieve("r2", Status::kAlive));
+    BOOST_TEST(group.AllHaveStatus("r1", Status::kAlive));
+    BOOST_TEST(group.AllHaveStatus("r2", Status::kAlive));
   }
 }
 
-/// One member that knows one other, "r1", and what it sent it last.
-struct Alone {
+/// One member that knows one other, "r1", and the current time.
+struct TwoMembers {
   Membership member{
       Settings{}, {"r0", "a0", "d", 1, Status::kAlive, false}, Random(1)};
   TimePoint now{std::chrono::seconds(1)};
   Member other{"r1", "a1", "d", 1, Status::kAlive, false};
 
-  Alone() { this->member.OnProbe(this->From(this->other), this->now); }
+  TwoMembers() { this->member.OnProbe(this->From(this->other), this->now); }
 
   static Message From(const Member& sender) {
     Message message;
     message.sender = sender;
     return message;
   }
-  std::vector<Probe> After(Duration length) {
+  std::vector<Probe> TickAfter(Duration length) {
     this->now = this->now + length;
     return this->member.Tick(this->now);
   }
@@ -128,68 +130,69 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(AMemberThatNeverAnswersIsSuspected, Alone) {
+BOOST_FIXTURE_TEST_CASE(AMemberThatNeverAnswersIsSuspected, TwoMembers) {
   const Duration step = Settings{}.period / 5;
-  for (int at = 0; at < 10; ++at) this->After(step);
+  for (int at = 0; at < 10; ++at) this->TickAfter(step);
   BOOST_TEST(this->Suspects());
 }
 
-BOOST_FIXTURE_TEST_CASE(ARouterThatWakesUpBlamesNobody, Alone) {
-  // A router is stopped for ten seconds while others serve. When it goes on,
-  // its probe is overdue though the answer lies unread in its socket; if it
-  // believed that, it would tell everybody that healthy routers are suspects.
-  BOOST_TEST(this->After(Duration(0)).size() == 1u);
-  this->After(std::chrono::seconds(10));
+BOOST_FIXTURE_TEST_CASE(AResumedRouterSuspectsNoMember, TwoMembers) {
+  // A router is stopped for ten seconds while others serve. When it resumes,
+  // its probe is overdue though the answer is unread in its socket; if it took
+  // that as a failure, it would announce healthy routers as suspects to all.
+  BOOST_TEST(this->TickAfter(Duration(0)).size() == 1u);
+  this->TickAfter(std::chrono::seconds(10));
   BOOST_TEST(!this->Suspects());
 }
 
-BOOST_FIXTURE_TEST_CASE(AnotherInstanceAtTheAddressIsNoSignOfLife, Alone) {
+BOOST_FIXTURE_TEST_CASE(AnAnswerOfAnotherInstanceIsNoEvidenceOfLiveness,
+                        TwoMembers) {
   // A router is replaced; the new one gets its address. Its answers must not
   // keep the old one in the entry advice.
   const Duration step = Settings{}.period / 5;
   Member successor = this->other;
   successor.id = "r7";
   for (int at = 0; at < 20; ++at) {
-    for (const Probe& probe : this->After(step)) {
+    for (const Probe& probe : this->TickAfter(step)) {
       this->member.OnAnswer(probe.id, this->From(successor), this->now);
     }
   }
   BOOST_TEST(this->Suspects());
 }
 
-BOOST_FIXTURE_TEST_CASE(TheDeathOfAStrangerIsNoNews, Alone) {
-  // A death that was forgotten must not come back from a member that still
-  // remembers it, or the two would tell each other for ever.
+BOOST_FIXTURE_TEST_CASE(TheDeathOfAnUnknownMemberIsIgnored, TwoMembers) {
+  // A death that was removed must not come back from a member that still has
+  // it, or the two would announce it to each other forever.
   Message message = this->From(this->other);
   message.members.push_back({"r8", "a8", "d", 4, Status::kDead, false});
   this->member.OnProbe(message, this->now);
   BOOST_TEST(this->member.CurrentView().Find("r8") == nullptr);
 }
 
-BOOST_FIXTURE_TEST_CASE(AFalseClaimIsDeniedByAHigherIncarnation, Alone) {
+BOOST_FIXTURE_TEST_CASE(AFalseClaimIsRefutedByAHigherIncarnation, TwoMembers) {
   Message message = this->From(this->other);
   message.members.push_back({"r0", "a0", "d", 1, Status::kDead, false});
   const Message answer = this->member.OnProbe(message, this->now);
   BOOST_TEST(answer.sender.incarnation == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(AListEntryDoesNotBringTheDeadBack) {
-  // The platform's list still shows a router that died; routing advice must
-  // not name it again. The list is shared anew each period.
+BOOST_AUTO_TEST_CASE(AListEntryDoesNotRestoreADeadMember) {
+  // The platform's list still shows a router that died; routing advice must not
+  // name it again. The list is shared anew each period.
   Group group(6, 5);
   group.Run(kJoinPeriods);
   group.Kill("r1");
   group.Run(DeathPeriods(6));
   group.Start("r9", 1);
   group.Run(kJoinPeriods);
-  const bool dead = group.Belief("r0", "r1") == Status::kDead;
+  const bool dead = group.StatusAt("r0", "r1") == Status::kDead;
   BOOST_TEST(dead);
   for (const Member& member : group.At("r9").Present()) {
     BOOST_TEST(member.id != "r1");
   }
 }
 
-BOOST_AUTO_TEST_CASE(ARestartUnderTheSameIdIsHeard) {
+BOOST_AUTO_TEST_CASE(ARestartUnderTheSameIdReachesAll) {
   Group group(5, 6);
   group.Run(kJoinPeriods);
   group.At("r1").Publish(ItemKind::kGeneration, "", "9");
@@ -198,23 +201,23 @@
   group.At("r1").OnList({{"r0", "r0"}});
   group.At("r1").Publish(ItemKind::kGeneration, "", "3");
   group.Run(60);
-  BOOST_TEST(group.AllBelieve("r1", Status::kAlive));
+  BOOST_TEST(group.AllHaveStatus("r1", Status::kAlive));
   const auto items = group.At("r0").CurrentView().Items(ItemKind::kGeneration);
   BOOST_TEST(items.size() == 1u);
   BOOST_TEST(items.front().value == "3");
 }
 
 BOOST_AUTO_TEST_CASE(LeavingIsKnownEverywhereWithinSeconds) {
-  // I5: a router told to stop must leave the entry advice of all others
-  // within seconds, before the platform's list says so.
+  // I5: a router told to stop must leave the entry advice of all others within
+  // seconds, before the platform's list says so.
   Group group(24, 7);
   group.Run(kJoinPeriods);
   group.At("r1").Leave();
   group.Run(10);
   for (std::size_t at = 0; at < 24; ++at) {
     if (at == 1) continue;
-    const View& beliefs = group.At(Group::Name(at)).CurrentView();
-    BOOST_TEST(beliefs.Find("r1")->leaving);
+    const View& view = group.At(Group::Name(at)).CurrentView();
+    BOOST_TEST(view.Find("r1")->leaving);
   }
 }
 
@@ -222,9 +225,9 @@
   Group group(6, *rc::gen::arbitrary<std::uint64_t>());
   group.Run(kJoinPeriods);
   group.loss = 0.3;
-  group.doubled = 0.2;
+  group.duplicated = 0.2;
   group.delay = 5;
-  group.connected = HalvesApart;
+  group.connected = SameHalf;
   for (int value = 1; value <= 20; ++value) {
     group.At("r2").Publish(ItemKind::kEndpointLoad, "e1",
                            std::to_string(value));
@@ -258,7 +261,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(FewWatchesMoveWhenAMemberGoes) {
+BOOST_AUTO_TEST_CASE(FewWatchesMoveWhenAMemberLeaves) {
   std::vector<Member> present;
   for (std::size_t at = 0; at < 12; ++at) {
     present.push_back(
@@ -271,8 +274,9 @@
     const auto before = WatchersOf(name, present, 2);
     const auto after = WatchersOf(name, fewer, 2);
     BOOST_TEST(before.size() == 2u);
-    const bool kept = before[0] == "r4" || before[1] == "r4" || before == after;
-    BOOST_TEST(kept);
+    const bool unmoved =
+        before[0] == "r4" || before[1] == "r4" || before == after;
+    BOOST_TEST(unmoved);
   }
 }
 
