--- a/include/toucanwharf/control/config.h
+++ b/include/toucanwharf/control/config.h
@@ -74,10 +74,11 @@
 std::optional<Delta> DecodeDelta(std::string_view text);
 
 /// Returns \p records as JSON objects of up to about kChunkBytes each; at least
-/// one chunk. Thread safety: safe.
+/// one chunk.
+/// Thread safety: safe.
 std::vector<std::string> EncodeChunks(const RecordMap& records);
-/// Returns the records of one chunk, or nothing for invalid text. Thread
-/// safety: safe.
+/// Returns the records of one chunk, or nothing for invalid text.
+/// Thread safety: safe.
 std::optional<RecordMap> DecodeChunk(std::string_view text);
 
 /// An update from one instance to another: all changes from one generation to
--- a/include/toucanwharf/control/lease.h
+++ b/include/toucanwharf/control/lease.h
@@ -46,15 +46,15 @@
 /// One process's view of a role that at most one process holds at a time.
 ///
 /// Failures guarded against:
-///  - The holder is paused past its term and resumes in the state of a holder.
-///    Its own validity counts from before the renewal was sent, on a clock that
-///    advances during a pause, less a margin; MayAct is checked right before
-///    each send. What was sent before the pause is fenced by the number, or by
-///    the conditional write on the object that it changes.
+///  - The holder is paused past its term and resumes assuming that it still
+///    holds the role. Its own validity counts from before the renewal was sent,
+///    on a clock that advances during a pause, less a margin; MayAct is checked
+///    right before each send. What was sent before the pause is fenced by the
+///    number, or by the conditional write on the object that it changes.
 ///  - A challenger takes over too early. It waits a full term on its own clock
-///    after the last change that it saw; it saw the change after the change was
-///    made, and the holder's validity began before that. Neither wall clocks
-///    nor the clocks of two processes are compared.
+///    since the last change that it saw, which is later than the change itself;
+///    the holder's validity began before the change. Neither wall clocks nor
+///    the clocks of two processes are compared.
 ///  - Two challengers take over at the same time: the takeover is a conditional
 ///    write.
 ///
--- a/include/toucanwharf/control/publisher.h
+++ b/include/toucanwharf/control/publisher.h
@@ -29,11 +29,11 @@
   /// \p writer is unique to this process.
   explicit Publisher(std::string writer);
 
-  /// Starts to publish \p changes, made from the records as of \p
-  /// records_revision, on top of \p base. Returns false, and does nothing, if
-  /// \p base was made from a later listing: this one is stale, and would undo
-  /// what others already accepted (I7). Precondition: not Busy(); \p base is up
-  /// to date; \p changes isn't empty.
+  /// Starts to publish \p changes, made from the records as of
+  /// \p records_revision, on top of \p base. Returns false, and does nothing,
+  /// if \p base was made from a later listing: this one is stale, and would
+  /// undo what others already accepted (I7). Precondition: not Busy(); \p base
+  /// is up to date; \p changes isn't empty.
   bool Start(const ConfigFollower& base, const ChangeMap& changes,
              std::uint64_t records_revision, std::uint64_t fence);
   /// Returns whether a generation is being published.
--- a/include/toucanwharf/control/review.h
+++ b/include/toucanwharf/control/review.h
@@ -171,7 +171,8 @@
 
 /// Compares the configuration in force with the operators' records and returns
 /// what to publish. Statuses are given for records that changed or that don't
-/// take effect. Thread safety: safe.
+/// take effect.
+/// Thread safety: safe.
 template <RecordInspector T>
 Review ReviewRecords(const RecordMap& accepted,
                      const std::map<std::string, store::Object>& wanted,
--- a/include/toucanwharf/endpoints/endpoint_table.h
+++ b/include/toucanwharf/endpoints/endpoint_table.h
@@ -43,8 +43,9 @@
 };
 
 /// Returns a number that stands for this start of \p endpoint in messages
-/// between instances; a restart under the same id has another one. Two of a
-/// thousand endpoints share a number with a probability of one in ten thousand.
+/// between instances; a restart under the same id has another one. The
+/// probability that two of a thousand endpoints share a number is one in ten
+/// thousand.
 /// Thread safety: safe.
 std::uint32_t EndpointKey(const Endpoint& endpoint);
 
@@ -84,19 +85,20 @@
 /// failure started the grace period, an endpoint whose entry was removed during
 /// it would be used past the bound (I5). Entries expire only when the store has
 /// been unavailable for several heartbeats, so if two of its answers, to any
-/// instances, are closer than that, there is nothing to wait for. Thread
-/// safety: none; for one thread.
+/// instances, are closer than that, there is nothing to wait for.
+/// Thread safety: none; for one thread.
 class EndpointTable {
  public:
-  /// \p grace is how long after the store's return an entry may be missing; \p
-  /// shortest is how long the store must be unavailable for entries to expire.
+  /// \p grace is how long after the store's return an entry may be missing;
+  /// \p min_outage_length is how long the store must be unavailable for entries
+  /// to expire.
   EndpointTable(Duration grace, Duration min_outage_length)
       : outage_grace(grace), min_outage(min_outage_length) {}
 
   /// Records that the store did not answer this instance.
   void OnStoreUnavailable(TimePoint now) { this->last_unavailable_at = now; }
-  /// Records that the store answered a read that some instance began at \p
-  /// read, whatever the result.
+  /// Records that the store answered a read that some instance began at
+  /// \p read, whatever the result.
   void OnStoreAnswered(TimePoint read, TimePoint now);
   /// Records that the store answered a read of the list that began at \p read,
   /// of this instance or a peer, and that the list known here is as new. Drops
--- a/include/toucanwharf/endpoints/liveness_evidence.h
+++ b/include/toucanwharf/endpoints/liveness_evidence.h
@@ -24,11 +24,12 @@
 /// Load: one engine of a path dies, and all answers of the router on that path
 /// stall. Probing each engine of each path would cost ten probes an answer, and
 /// a lost packet on the way to a healthy engine would make it look dead;
-/// engines that other answers still pass need no probe. Thread safety: safe.
+/// engines that other answers still pass need no probe.
+/// Thread safety: safe.
 std::vector<pipeline::Stage> EnginesWithoutEvidence(
     const std::vector<pipeline::Stage>& stages, TimePoint since,
     const std::vector<LivenessEvidence>& others);
 
 }  // namespace toucanwharf::endpoints
 
-#endif  // TOUCANWHARF_ENDPOINTS_DOUBT_H_
+#endif  // TOUCANWHARF_ENDPOINTS_LIVENESS_EVIDENCE_H_
--- a/include/toucanwharf/endpoints/load_tracker.h
+++ b/include/toucanwharf/endpoints/load_tracker.h
@@ -13,8 +13,8 @@
 namespace toucanwharf::endpoints {
 
 /// Tracks what is in flight at each endpoint, which endpoints are suspected to
-/// be dead, and the last status of each engine. Thread safety: none; for one
-/// thread.
+/// be dead, and the last status of each engine.
+/// Thread safety: none; for one thread.
 class LoadTracker {
  public:
   /// Adds \p load to what this instance has in flight.
@@ -117,4 +117,4 @@
 
 }  // namespace toucanwharf::endpoints
 
-#endif  // TOUCANWHARF_ENDPOINTS_LOAD_BOOK_H_
+#endif  // TOUCANWHARF_ENDPOINTS_LOAD_TRACKER_H_
--- a/include/toucanwharf/gossip/backup_leaders.h
+++ b/include/toucanwharf/gossip/backup_leaders.h
@@ -29,7 +29,8 @@
 /// in the failure domain \p domain: the candidates with the largest processor
 /// share, in failure domains that differ from the leader's and from one another
 /// where possible. Instances that know the same candidates choose the same
-/// backup leaders. Thread safety: safe.
+/// backup leaders.
+/// Thread safety: safe.
 std::vector<std::string> ChooseBackupLeaders(
     std::vector<BackupLeaderCandidate> candidates, const std::string& domain);
 
@@ -39,14 +40,16 @@
 /// confirmations of the configuration, the liveness state and the loads for as
 /// long as the lease lasts, and each reads the store for itself meanwhile.
 /// Every instance therefore reports to the backup leaders as well, so that they
-/// can report to all in the leader's place. Thread safety: safe.
+/// can report to all in the leader's place.
+/// Thread safety: safe.
 std::vector<std::string> ChooseBackupLeaders(const PeerTable& peers,
                                              const std::string& domain,
                                              TimePoint now);
 
 /// Returns whether the instance with the datagram address \p own acts for a
-/// missing leader: no leader is known, and \p own is the first live one of \p
-/// backup_leaders. Thread safety: safe.
+/// missing leader: no leader is known, and \p own is the first live one of
+/// \p backup_leaders.
+/// Thread safety: safe.
 bool ActsForLeader(const PeerTable& peers,
                    const std::vector<std::string>& backup_leaders,
                    const std::string& own, TimePoint now);
--- a/include/toucanwharf/gossip/beacon.h
+++ b/include/toucanwharf/gossip/beacon.h
@@ -59,9 +59,9 @@
   std::uint64_t start_time_ms = 0;
   pipeline::LayerRange layers;
   double slowdown = 1;
-  /// Tokens times layers that the engine reports for its answers, from
-  /// whichever instance they came; 0 where the instances' own counts are newer
-  /// than its report.
+  /// Tokens times layers that the engine reports for its answers, whichever
+  /// instance sent them; 0 where the instances' own counts are newer than its
+  /// report.
   double token_layers = 0;
 
   friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
@@ -94,7 +94,7 @@
   double processor_share = 1;
   /// Whether callers may be sent to the instance.
   bool ready = false;
-  /// Whether the instance is shutting down.
+  /// Whether the instance was told to stop.
   bool stopping = false;
   /// Whether the instance holds the placement lease.
   bool leads = false;
@@ -115,8 +115,8 @@
   /// restarted, with another clock, since it sent that stamp.
   std::string echo_of;
   std::vector<EndpointLoad> loads;
-  /// Keys of the endpoints that fleet_loads and engine_statuses cover; nothing
-  /// is known of the others.
+  /// Keys of the endpoints that fleet_loads and engine_statuses cover; they
+  /// contain nothing about other endpoints.
   KeyRange covered_keys;
   /// From the leader or a backup leader only: what all instances together have
   /// in flight.
@@ -137,8 +137,8 @@
 };
 
 /// Trims \p beacon to the size of a datagram: drops the smallest of very many
-/// loads, and those of very many suspicions that end soonest. Thread safety:
-/// safe.
+/// loads, and those of very many suspicions that end soonest.
+/// Thread safety: safe.
 void TrimToDatagram(Beacon& beacon);
 
 /// Returns \p beacon encoded as CBOR. Thread safety: safe.
--- a/include/toucanwharf/gossip/beacon_schedule.h
+++ b/include/toucanwharf/gossip/beacon_schedule.h
@@ -11,9 +11,9 @@
 
 /// Intervals and numbers of receivers of the beacons.
 struct BeaconScheduleSettings {
-  /// Time between two rounds. Four rounds a second keep the peers' state of
-  /// loads and of the configuration's age as new as the time to an answer's
-  /// first event requires.
+  /// Time between two rounds. Four rounds a second keep the peers' view of
+  /// loads and of the configuration's age no older than the time to an answer's
+  /// first event.
   Duration period = std::chrono::milliseconds(250);
   /// With up to this many peers each gets a beacon in every round: 64 messages
   /// a second, about 1% of a quarter of a core.
@@ -21,13 +21,14 @@
   /// In a larger fleet, this many peers of the same failure domain get a beacon
   /// in each round, in turn.
   std::size_t same_domain_per_round = 8;
-  /// Rounds between two broadcasts of a coordinator. The other instances depend
-  /// on its report of the configuration's age and of all loads.
+  /// A coordinator sends to all peers once in this many rounds. The other
+  /// instances depend on its report of the configuration's age and of all
+  /// loads.
   std::size_t coordinator_every = 2;
-  /// Rounds between two beacons to a backup leader. Only the leader's sums have
-  /// to be as new as possible.
+  /// The backup leaders get a beacon once in this many rounds. Only the
+  /// leader's sums have to be as new as possible.
   std::size_t backup_leader_every = 2;
-  /// Rounds between two beacons to a peer of another failure domain.
+  /// One peer of another failure domain gets a beacon once in this many rounds.
   std::size_t other_domain_every = 4;
   /// A peer counts as unresponsive once its turn was missed this many times.
   double max_missed_turns = 2.5;
@@ -62,8 +63,8 @@
 /// instances would spend its processor time on gossip. With this schedule an
 /// instance sends and receives about 50 a second whatever the size of the
 /// fleet, the leader and its backup leaders 2 N. Most messages stay in the
-/// failure domain, which has links of its own. Thread safety: none; for one
-/// thread.
+/// failure domain, which has links of its own.
+/// Thread safety: none; for one thread.
 class BeaconSchedule {
  public:
   explicit BeaconSchedule(const BeaconScheduleSettings& chosen = {})
--- a/include/toucanwharf/gossip/election_policy.h
+++ b/include/toucanwharf/gossip/election_policy.h
@@ -20,8 +20,8 @@
   /// failed.
   Duration max_delay = std::chrono::milliseconds(3000);
   /// A process with less than this part of a core delays its first attempt
-  /// after a start, in favour of stronger ones that it hasn't been contacted by
-  /// yet. Leading 86 instances takes a tenth of a core.
+  /// after a start, because it doesn't know the stronger ones yet. Leading 86
+  /// instances takes a tenth of a core.
   double strong_share = 0.2;
   Duration weak_start_delay = std::chrono::milliseconds(1000);
 
@@ -36,8 +36,8 @@
 /// lease, write it and read who won, all within milliseconds, and a weak
 /// instance may win that spends its processor time on messages to the others
 /// while its callers wait. Stronger instances go first, a few at a time; the
-/// others learn who won and needn't read the lease. Thread safety: none; for
-/// one thread.
+/// others learn who won and needn't read the lease.
+/// Thread safety: none; for one thread.
 class ElectionPolicy {
  public:
   /// \p share is the part of a core that this process may use.
--- a/include/toucanwharf/gossip/fleet_loads.h
+++ b/include/toucanwharf/gossip/fleet_loads.h
@@ -11,7 +11,8 @@
 namespace toucanwharf::gossip {
 
 /// What all instances together have in flight, assembled from the leader's
-/// partial reports. Thread safety: none; for one thread.
+/// partial reports.
+/// Thread safety: none; for one thread.
 class FleetLoads {
  public:
   /// Applies the leader's report on the endpoints in \p covered_keys; those
--- a/include/toucanwharf/gossip/initial_read_policy.h
+++ b/include/toucanwharf/gossip/initial_read_policy.h
@@ -14,8 +14,8 @@
   /// Part of a core from which on an instance reads immediately. A large fleet
   /// has some such instances in each failure domain.
   double strong_share = ElectionSettings().strong_share;
-  /// By then the strong instances have sent their copies to all others, to some
-  /// of them every 250 ms.
+  /// By then the strong instances have announced their copies to all others, to
+  /// some of them every 250 ms.
   Duration peer_copy_wait = std::chrono::milliseconds(1000);
   /// Interval between two reads of the whole fleet after that: forty reads a
   /// second while no copy is available.
@@ -26,8 +26,8 @@
 };
 
 /// Returns whether an instance that may use the part \p share of a core reads
-/// immediately and sends copies to the others of its failure domain. Thread
-/// safety: safe.
+/// immediately and announces its copies to the others of its failure domain.
+/// Thread safety: safe.
 inline bool ReadsImmediately(double share,
                              const InitialReadSettings& settings = {}) {
   return share >= settings.strong_share;
@@ -40,8 +40,8 @@
 /// grows with the fleet: the lists of 3,000 endpoints to 300 instances are 225
 /// MB, which saturate the store's link for seconds in which no instance serves.
 /// The strong instances read immediately; the others get compressed copies from
-/// them over other links, and read only if none arrives. Thread safety: safe;
-/// immutable.
+/// them, over the links between instances, and read only if none arrives.
+/// Thread safety: safe; immutable.
 class InitialReadPolicy {
  public:
   /// \p share is the part of a core that this process may use, \p unit a random
--- a/include/toucanwharf/gossip/key_range.h
+++ b/include/toucanwharf/gossip/key_range.h
@@ -29,8 +29,8 @@
 /// Load: thousands of endpoints. The leader's report on 3,000 of them takes 78
 /// KB, more than a datagram holds, and would saturate its link if it went to
 /// hundreds of instances twice a second. Each range is complete in itself, so
-/// that the next report on the same range makes up for a lost one. Thread
-/// safety: none; for one thread.
+/// that the next report on the same range makes up for a lost one.
+/// Thread safety: none; for one thread.
 class KeyRanges {
  public:
   /// Endpoints in one message, of about 16 KB.
--- a/include/toucanwharf/gossip/peer_table.h
+++ b/include/toucanwharf/gossip/peer_table.h
@@ -92,8 +92,8 @@
   /// process that has just started has no beacons yet, and must not assume a
   /// small fleet.
   std::size_t InstanceCount(TimePoint now) const;
-  /// Returns how many of them, this one included, may have started less than \p
-  /// lately ago: all except live peers that report a longer uptime.
+  /// Returns how many of them, this one included, may have started less than
+  /// \p lately ago: all except live peers that report a longer uptime.
   std::size_t StartedWithin(Duration lately, TimePoint now) const;
 
   /// Returns the moment of the local clock at which peers confirm that the
--- a/include/toucanwharf/gossip/ready_instance_list.h
+++ b/include/toucanwharf/gossip/ready_instance_list.h
@@ -11,7 +11,8 @@
 namespace toucanwharf::gossip {
 
 /// Returns the IPv4 address in the address "IP:PORT" as a number in host byte
-/// order, or nothing if it is invalid. Thread safety: safe.
+/// order, or nothing if it is invalid.
+/// Thread safety: safe.
 std::optional<std::uint32_t> IpNumber(const std::string& address);
 
 /// Returns the port in the address "IP:PORT". Thread safety: safe.
@@ -26,8 +27,8 @@
 /// Load: in a fleet of hundreds an instance gets beacons of each other one only
 /// in turn, and detects a dead one after half a minute; until then it sends
 /// callers there. The leader gets a beacon of each instance four times a
-/// second, and reports the live ones to all. Thread safety: none; for one
-/// thread.
+/// second, and reports the live ones to all.
+/// Thread safety: none; for one thread.
 class ReadyInstanceList {
  public:
   /// How long the last report counts once the leader is unresponsive.
--- a/include/toucanwharf/membership/broadcast_queue.h
+++ b/include/toucanwharf/membership/broadcast_queue.h
@@ -10,8 +10,8 @@
 namespace toucanwharf::membership {
 
 /// Updates that still have to be sent, the least often sent first and of those
-/// the newest, so that a burst delays old updates and not the latest. Thread
-/// safety: none; for one thread.
+/// the newest, so that a burst delays old updates and not the latest.
+/// Thread safety: none; for one thread.
 template <typename Key>
 class BroadcastQueue {
  public:
@@ -36,8 +36,8 @@
   bool Empty() const { return this->order.empty(); }
 
   /// Offers keys in order to \p send, which returns whether it sent the key.
-  /// Counts one transmission for each key sent; a key leaves the queue after \p
-  /// max_transmissions.
+  /// Counts one transmission for each key sent; a key leaves the queue after
+  /// \p max_transmissions.
   template <typename Send>
   void Transmit(std::uint32_t max_transmissions, Send send) {
     std::vector<std::pair<Priority, Key>> sent;
--- a/include/toucanwharf/membership/values.h
+++ b/include/toucanwharf/membership/values.h
@@ -125,8 +125,9 @@
   /// about log2 periods, but over connections that stay open. Probing all 420
   /// in turn would open a new connection for nearly each probe.
   std::size_t neighbours = 15;
-  /// Members asked to probe in turn. One bad link of three hundred, seen from
-  /// three independent places, is distinguished from a dead member.
+  /// Members asked to probe on this one's behalf. One bad link of three
+  /// hundred, seen from three independent places, is distinguished from a dead
+  /// member.
   std::uint32_t indirect_probes = 3;
   /// Periods, times log2 of the group, that a suspect has to refute. An update
   /// needs about log2 periods to reach all, the answer as many to come back;
--- a/include/toucanwharf/membership/view.h
+++ b/include/toucanwharf/membership/view.h
@@ -14,8 +14,9 @@
 
 namespace toucanwharf::membership {
 
-/// One member's state of the others and of their items, and the updates that it
-/// still has to send. Thread safety: none; for one thread.
+/// One member's view of the others and of their items, and the updates that it
+/// still has to send.
+/// Thread safety: none; for one thread.
 class View {
  public:
   /// Starts a view that contains only \p own.
@@ -36,8 +37,8 @@
   bool Merge(const Member& claim, TimePoint now);
   /// Applies \p item if it is newer and its owner is known and not dead.
   void Merge(const Item& item);
-  /// Declares members dead that were suspects for longer than \p
-  /// suspicion_timeout, and removes those dead for longer than
+  /// Declares members dead that were suspects for longer than
+  /// \p suspicion_timeout, and removes those dead for longer than
   /// Settings::forget_after.
   void Expire(TimePoint now, Duration suspicion_timeout);
   /// Announces to all that this member leaves.
--- a/include/toucanwharf/store/call_limiter.h
+++ b/include/toucanwharf/store/call_limiter.h
@@ -64,4 +64,4 @@
 
 }  // namespace toucanwharf::store
 
-#endif  // TOUCANWHARF_STORE_CALL_GATE_H_
+#endif  // TOUCANWHARF_STORE_CALL_LIMITER_H_
--- a/lib/endpoints/load_tracker.cc
+++ b/lib/endpoints/load_tracker.cc
@@ -52,8 +52,8 @@
   if (found == this->local.end()) return;
   Add(found->second, load, -1);
   // Less than half an answer is the rounding error of the sums.
-  constexpr double kNone = 0.5;
-  if (found->second.answers < kNone) this->local.erase(found);
+  constexpr double kRoundingMargin = 0.5;
+  if (found->second.answers < kRoundingMargin) this->local.erase(found);
 }
 
 std::vector<gossip::EndpointLoad> LoadTracker::Local() const {
--- a/lib/gossip/peer_table.cc
+++ b/lib/gossip/peer_table.cc
@@ -137,8 +137,8 @@
 
 namespace {
 
-/// Returns the later of \p best and the moment that \p beacon confirms to \p
-/// receiver by \p age.
+/// Returns the later of \p best and the moment that \p beacon confirms to
+/// \p receiver by \p age.
 ///
 /// Guards against a receiver that lost power and restarted with another clock,
 /// while the sender still echoes a stamp of the previous clock. The
--- a/unittests/endpoints/endpoints_test.cc
+++ b/unittests/endpoints/endpoints_test.cc
@@ -30,10 +30,10 @@
   return count;
 }
 
-/// Applies to \p table the list that a read at \p at returned.
+/// Applies to \p table the list that a read at \p read returned.
 bool ApplyList(EndpointTable& table, std::vector<Endpoint> listed,
-               std::uint64_t revision, TimePoint at) {
-  return table.Replace(std::move(listed), revision, at, at);
+               std::uint64_t revision, TimePoint read) {
+  return table.Replace(std::move(listed), revision, read, read);
 }
 
 // The store is unavailable for some seconds, and the entries of all endpoints
@@ -74,10 +74,10 @@
 BOOST_AUTO_TEST_CASE(EntriesThatComeBackAreAChangeOfTheList) {
   EndpointTable reader(kGrace, kMinOutage);
   EndpointTable table(kGrace, kMinOutage);
-  for (EndpointTable* one : {&reader, &table}) {
-    ApplyList(*one, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-    one->OnStoreUnavailable(At(1000));
-    ApplyList(*one, {MakeEndpoint("one")}, 20, At(5000));
+  for (EndpointTable* either : {&reader, &table}) {
+    ApplyList(*either, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
+    either->OnStoreUnavailable(At(1000));
+    ApplyList(*either, {MakeEndpoint("one")}, 20, At(5000));
   }
   const auto both = {MakeEndpoint("one"), MakeEndpoint("two")};
   BOOST_TEST(ApplyList(reader, both, 30, At(5600)));
@@ -178,9 +178,9 @@
 BOOST_AUTO_TEST_CASE(InstanceWithRefusedReadsRetainsNoEndpointThatLeft) {
   EndpointTable table(kGrace, kMinOutage);
   ApplyList(table, {MakeEndpoint("one"), MakeEndpoint("two")}, 10, At(0));
-  for (int at = 1000; at <= 6000; at += 300) {
-    table.OnStoreUnavailable(At(at));
-    table.OnStoreAnswered(At(at - 1000), At(at));
+  for (int millis = 1000; millis <= 6000; millis += 300) {
+    table.OnStoreUnavailable(At(millis));
+    table.OnStoreAnswered(At(millis - 1000), At(millis));
   }
   EndpointListSnapshot list;
   list.endpoints = {MakeEndpoint("two")};
@@ -292,8 +292,8 @@
   BOOST_TEST(tracker.IsUnresponsive("silent", At(1100)));
   BOOST_TEST(!tracker.IsUnresponsive("refuses", At(10)));
   BOOST_TEST(tracker.IsSuspected("silent", At(10)));
-  for (const gossip::Suspicion& one : tracker.Suspicions(At(10), false)) {
-    BOOST_TEST(one.unresponsive == (one.endpoint == "silent"));
+  for (const gossip::Suspicion& suspicion : tracker.Suspicions(At(10), false)) {
+    BOOST_TEST(suspicion.unresponsive == (suspicion.endpoint == "silent"));
   }
   tracker.OnResponse("silent", At(10));
   BOOST_TEST(!tracker.IsSuspected("silent", At(10)));
--- a/unittests/gossip/gossip_test.cc
+++ b/unittests/gossip/gossip_test.cc
@@ -251,8 +251,8 @@
 
 std::vector<std::string> Addresses(int count) {
   std::vector<std::string> addresses;
-  for (int at = 0; at < count; ++at) {
-    addresses.push_back("10.0.0." + std::to_string(at) + ":7");
+  for (int i = 0; i < count; ++i) {
+    addresses.push_back("10.0.0." + std::to_string(i) + ":7");
   }
   return addresses;
 }
@@ -260,11 +260,11 @@
 /// The peers of one of \p size instances in five failure domains.
 BeaconTargets MakeTargets(int size) {
   BeaconTargets targets;
-  for (const std::string& one : Addresses(size)) {
+  for (const std::string& address : Addresses(size)) {
     const bool add_to_same_domain =
         targets.same_domain.size() <= targets.other_domains.size() / 4;
     (add_to_same_domain ? targets.same_domain : targets.other_domains)
-        .push_back(one);
+        .push_back(address);
   }
   targets.leader = targets.other_domains.back();
   targets.backup_leaders = {targets.same_domain.back(),
@@ -297,10 +297,11 @@
         BOOST_REQUIRE((sent_to_backup || round % 2 == 0));
       }
       sent += chosen.size();
-      for (const std::string& one : chosen) last_sent_round[one] = round;
+      for (const std::string& address : chosen)
+        last_sent_round[address] = round;
     }
-    for (const std::string& one : targets.same_domain) {
-      BOOST_REQUIRE(last_sent_round.contains(one));
+    for (const std::string& address : targets.same_domain) {
+      BOOST_REQUIRE(last_sent_round.contains(address));
     }
     BOOST_TEST(sent <= static_cast<std::size_t>(rounds) * 16);
   }
@@ -313,10 +314,11 @@
   std::set<std::string> receivers;
   for (std::size_t round = 0; round < 4 * targets.other_domains.size();
        ++round) {
-    for (const std::string& one : schedule.Next(targets)) receivers.insert(one);
+    for (const std::string& address : schedule.Next(targets))
+      receivers.insert(address);
   }
-  for (const std::string& one : targets.other_domains)
-    BOOST_TEST(receivers.contains(one));
+  for (const std::string& address : targets.other_domains)
+    BOOST_TEST(receivers.contains(address));
 }
 
 BOOST_AUTO_TEST_CASE(CoordinatorBroadcastsInEverySecondRound) {
@@ -342,10 +344,10 @@
   constexpr std::size_t kStrong = 15;
   const auto reading = [&](TimePoint now) {
     std::size_t count = 0;
-    for (std::size_t at = 0; at < kInstances; ++at) {
-      const double unit = static_cast<double>(at) / kInstances;
-      const InitialReadPolicy one(at < kStrong ? 0.5 : 0.12, At(0), unit);
-      if (one.MayRead(kInstances, now)) ++count;
+    for (std::size_t i = 0; i < kInstances; ++i) {
+      const double unit = static_cast<double>(i) / kInstances;
+      const InitialReadPolicy policy(i < kStrong ? 0.5 : 0.12, At(0), unit);
+      if (policy.MayRead(kInstances, now)) ++count;
     }
     return count;
   };
@@ -371,10 +373,10 @@
   std::size_t immediately = 0;
   std::size_t eventually = 0;
   for (std::size_t ahead = 0; ahead < kInstances; ++ahead) {
-    ElectionPolicy one(0.5, At(0));
-    BOOST_TEST(!one.MayAttempt(false, ahead, At(9000)));
-    if (one.MayAttempt(true, ahead, At(10000))) ++immediately;
-    if (one.MayAttempt(true, ahead, At(13000))) ++eventually;
+    ElectionPolicy policy(0.5, At(0));
+    BOOST_TEST(!policy.MayAttempt(false, ahead, At(9000)));
+    if (policy.MayAttempt(true, ahead, At(10000))) ++immediately;
+    if (policy.MayAttempt(true, ahead, At(13000))) ++eventually;
   }
   BOOST_TEST(immediately == ElectionSettings().concurrent_candidates);
   BOOST_TEST(eventually == kInstances);
@@ -410,13 +412,13 @@
 // time on gossip.
 BOOST_AUTO_TEST_CASE(BackupLeadersAreStrongAndInOtherDomains) {
   PeerTable table("own");
-  int at = 0;
+  int number = 0;
   for (const char* domain : {"a", "a", "b", "b", "c"}) {
     for (const double share : {0.12, 0.5}) {
-      Beacon beacon = MakeBeacon("peer" + std::to_string(++at), 1);
+      Beacon beacon = MakeBeacon("peer" + std::to_string(++number), 1);
       beacon.failure_domain = domain;
       beacon.processor_share = share;
-      table.OnBeacon("10.0.0." + std::to_string(at) + ":7", beacon, At(0));
+      table.OnBeacon("10.0.0." + std::to_string(number) + ":7", beacon, At(0));
     }
   }
   const std::vector<std::string> expected = {"10.0.0.10:7", "10.0.0.6:7"};
@@ -453,7 +455,7 @@
   table.OnBeacon("10.0.0.1:7", beacon, At(0));
   BOOST_CHECK(table.CoordinatorConfirmationAge({}, At(100)) ==
               milliseconds(4100));
-  beacon = MakeBeacon("deputy", 1);
+  beacon = MakeBeacon("backup", 1);
   beacon.configuration_age = milliseconds(300);
   table.OnBeacon("10.0.0.2:7", beacon, At(0));
   BOOST_CHECK(table.CoordinatorConfirmationAge({"10.0.0.2:7"}, At(100)) ==
--- a/unittests/membership/group.h
+++ b/unittests/membership/group.h
@@ -23,10 +23,12 @@
   using Link = std::function<bool(const std::string&, const std::string&)>;
 
   Group(std::size_t size, std::uint64_t seed) : random(seed) {
-    for (std::size_t at = 0; at < size; ++at) this->Start(Name(at), 1);
+    for (std::size_t i = 0; i < size; ++i) this->Start(Name(i), 1);
   }
 
-  static std::string Name(std::size_t at) { return "r" + std::to_string(at); }
+  static std::string Name(std::size_t index) {
+    return "r" + std::to_string(index);
+  }
 
   void Start(const std::string& id, std::uint64_t incarnation) {
     const Member own{id, id, "domain", incarnation, Status::kAlive, false};
@@ -42,7 +44,7 @@
   void Run(std::size_t periods) {
     constexpr int kSteps = 10;
     const Duration step = Settings{}.period / kSteps;
-    for (std::size_t at = 0; at < periods * kSteps; ++at) {
+    for (std::size_t i = 0; i < periods * kSteps; ++i) {
       this->now = this->now + step;
       this->Deliver();
       for (auto& [id, member] : this->members) {
--- a/unittests/membership/membership_test.cc
+++ b/unittests/membership/membership_test.cc
@@ -70,8 +70,8 @@
   group.loss = 0.0;
   group.delay = 1;
   group.Run(120);
-  for (std::size_t at = 0; at < size; ++at) {
-    RC_ASSERT(group.AllHaveStatus(Group::Name(at), Status::kAlive));
+  for (std::size_t i = 0; i < size; ++i) {
+    RC_ASSERT(group.AllHaveStatus(Group::Name(i), Status::kAlive));
   }
   RC_ASSERT(group.AllAgree());
 }
@@ -132,7 +132,7 @@
 
 BOOST_FIXTURE_TEST_CASE(AMemberThatNeverAnswersIsSuspected, TwoMembers) {
   const Duration step = Settings{}.period / 5;
-  for (int at = 0; at < 10; ++at) this->TickAfter(step);
+  for (int i = 0; i < 10; ++i) this->TickAfter(step);
   BOOST_TEST(this->Suspects());
 }
 
@@ -152,7 +152,7 @@
   const Duration step = Settings{}.period / 5;
   Member successor = this->other;
   successor.id = "r7";
-  for (int at = 0; at < 20; ++at) {
+  for (int i = 0; i < 20; ++i) {
     for (const Probe& probe : this->TickAfter(step)) {
       this->member.OnAnswer(probe.id, this->From(successor), this->now);
     }
@@ -214,9 +214,9 @@
   group.Run(kJoinPeriods);
   group.At("r1").Leave();
   group.Run(10);
-  for (std::size_t at = 0; at < 24; ++at) {
-    if (at == 1) continue;
-    const View& view = group.At(Group::Name(at)).CurrentView();
+  for (std::size_t i = 0; i < 24; ++i) {
+    if (i == 1) continue;
+    const View& view = group.At(Group::Name(i)).CurrentView();
     BOOST_TEST(view.Find("r1")->leaving);
   }
 }
@@ -236,9 +236,9 @@
   group.connected = [](const auto&, const auto&) { return true; };
   group.loss = 0.0;
   group.Run(100);
-  for (std::size_t at = 0; at < 6; ++at) {
+  for (std::size_t i = 0; i < 6; ++i) {
     const auto items =
-        group.At(Group::Name(at)).CurrentView().Items(ItemKind::kEndpointLoad);
+        group.At(Group::Name(i)).CurrentView().Items(ItemKind::kEndpointLoad);
     RC_ASSERT(items.size() == 1u);
     RC_ASSERT(items.front().value == "20");
   }
@@ -247,8 +247,8 @@
 BOOST_AUTO_TEST_CASE(NoMessageIsOverTheByteCap) {
   const Settings settings;
   View view(settings, Member{"r0", "r0", "d", 1, Status::kAlive, false});
-  for (int at = 0; at < 500; ++at) {
-    const std::string id = "r" + std::to_string(at + 1);
+  for (int i = 0; i < 500; ++i) {
+    const std::string id = "r" + std::to_string(i + 1);
     view.Merge(Member{id, id, "d", 1, Status::kAlive, false}, TimePoint{});
     view.Publish(ItemKind::kEndpointLoad, id, "some load");
   }
@@ -263,9 +263,8 @@
 
 BOOST_AUTO_TEST_CASE(FewWatchesMoveWhenAMemberLeaves) {
   std::vector<Member> present;
-  for (std::size_t at = 0; at < 12; ++at) {
-    present.push_back(
-        Member{Group::Name(at), "", "", 1, Status::kAlive, false});
+  for (std::size_t i = 0; i < 12; ++i) {
+    present.push_back(Member{Group::Name(i), "", "", 1, Status::kAlive, false});
   }
   std::vector<Member> fewer = present;
   fewer.erase(fewer.begin() + 4);
