--- a/include/toucanwharf/once/entry.h
+++ b/include/toucanwharf/once/entry.h
@@ -8,8 +8,8 @@
 
 #include "toucanwharf/support/clock.h"
 
-/// At most once for calls that may not be repeated: a journal of idempotency
-/// keys in the platform's store.
+/// At-most-once execution of calls that are not idempotent, by a journal of
+/// idempotency keys in the platform's store.
 namespace toucanwharf::once {
 
 /// Why a call with an idempotency key is refused.
@@ -23,49 +23,49 @@
   kJournalUnreachable,
 };
 
-/// Returns the category of IdempotencyError; its messages name the remedy.
+/// Returns the category of IdempotencyError; its messages state the remedy.
 /// Thread safety: safe.
 const std::error_category& IdempotencyCategory();
 std::error_code make_error_code(IdempotencyError error);
 
-/// Whether a refused request ran. It speaks of the request, so of every
-/// attempt with the same key, and not only of this one (I3).
+/// Whether a refused request ran. Covers every attempt with the same key, not
+/// only this one (I3).
 enum class Ran { kNo, kUnknown };
 
-/// What the service answered the first time; a repeat gets the same.
+/// The service's first answer to a request; a repeat gets the same.
 struct Outcome {
   int status = 0;
   std::string content_type;
-  /// At most kMaxKeptBody bytes of UTF-8; see `body_retained`.
+  /// At most kMaxRetainedBodyBytes bytes of UTF-8; see `body_retained`.
   std::string body;
-  /// False when the body couldn't be kept; then it is empty.
+  /// False if the body couldn't be retained; then it is empty.
   bool body_retained = true;
 
   friend bool operator==(const Outcome&, const Outcome&) = default;
 };
 
-/// Longer bodies are not kept, so that outcomes can't fill the journal.
-inline constexpr std::size_t kMaxKeptBody = 4096;
+/// Longer bodies are not retained, so that outcomes can't fill the journal.
+inline constexpr std::size_t kMaxRetainedBodyBytes = 4096;
 
-/// Where a key stands.
+/// State of an idempotency key. The values are stored.
 enum class KeyState {
   /// One attempt may run, or may have run.
   kClaimed,
-  /// It ran, and the outcome is kept.
+  /// The request ran, and its outcome is retained.
   kDone,
-  /// Its claimant proved that nothing ran; the key may be claimed again.
+  /// The claimant confirmed that nothing ran; the key may be claimed again.
   kNotRun,
-  /// Its claimant lost the answer; whether it ran can't be known.
+  /// The claimant lost the answer; whether the request ran is unknown.
   kOutcomeLost,
 };
 
-/// One line of the journal: a claim (kClaimed), or how a claim ended.
+/// One entry of the journal: a claim (kClaimed), or the outcome of a claim.
 struct Entry {
   /// Customer, service and the caller's idempotency key.
   std::string key;
-  /// Unique for each attempt to claim.
+  /// Id of the claim; unique per attempt to claim.
   std::string claim;
-  /// Digest of the request; a key must not come with two requests.
+  /// Digest of the request; one key must not be used for two requests.
   std::string digest;
   KeyState state = KeyState::kClaimed;
   Outcome outcome;
@@ -73,20 +73,20 @@
   friend bool operator==(const Entry&, const Entry&) = default;
 };
 
-/// An attempt that wants to run.
+/// An attempt that asks for permission to run.
 struct ClaimRequest {
   std::string key;
   std::string claim;
   std::string digest;
-  /// Time inside the caller's idempotency key (UUID version 7).
+  /// Time in the caller's idempotency key (UUID version 7).
   std::uint64_t key_millis = 0;
-  /// When the caller must have an answer, on this process's clock.
+  /// Deadline of the caller's answer, on this process's clock.
   TimePoint deadline;
 
   friend bool operator==(const ClaimRequest&, const ClaimRequest&) = default;
 };
 
-/// The attempt holds the key and may send the request, once.
+/// The attempt holds the key and may send the request exactly once.
 struct Granted {
   friend bool operator==(const Granted&, const Granted&) = default;
 };
@@ -99,7 +99,7 @@
   friend bool operator==(const Refused&, const Refused&) = default;
 };
 
-/// An Outcome is the first answer of a key that already ran.
+/// An Outcome is the first answer to a request whose key already ran.
 using Verdict = std::variant<Granted, Outcome, Refused>;
 
 /// The answer to a ClaimRequest.
--- a/include/toucanwharf/once/ring_loader.h
+++ b/include/toucanwharf/once/ring_loader.h
@@ -12,10 +12,10 @@
 
 /// Reads a shard's ring of segments into a view.
 ///
-/// Failure guarded against: a stale copy of a sealed segment lacks its last
-/// claims, and a view made of it would grant their keys a second time (I4).
-/// A segment is sealed by its last write and before its successor is made, so
-/// a copy that has a successor and no seal is stale, and is read again.
+/// Guards against stale reads: a stale copy of a sealed segment lacks its last
+/// claims, and a view built from it would grant their keys a second time (I4).
+/// The last write of a segment seals it, before its successor is created, so an
+/// unsealed copy that has a successor is stale, and is read again.
 ///
 /// Thread safety: none; for one thread.
 class RingLoader {
@@ -24,28 +24,29 @@
 
   /// Returns the slot to read next. Precondition: not Done().
   std::uint64_t NextSlot() const { return this->next_slot; }
-  /// Takes the answer of reading NextSlot(). Unknown answers change nothing.
+  /// Handles the answer to reading NextSlot(). Unknown answers have no effect.
   void OnRead(const store::ReadAnswer& answer);
-  /// Returns whether the ring is read.
+  /// Returns whether the ring was read completely.
   bool Done() const { return this->done; }
-  /// Returns the view. Precondition: Done().
+  /// Returns a view of the ring. Precondition: Done().
   ShardView MakeView() const;
 
  private:
-  struct Copy {
+  struct SegmentCopy {
     Segment segment;
     std::uint64_t version = 0;
   };
 
-  /// Returns the slot whose copy doesn't fit the chain, if any.
-  std::optional<std::uint64_t> BrokenSlot() const;
-  const Copy* Newest() const;
+  /// Returns the last slot whose copy is missing, unsealed or of another
+  /// segment than its successor requires, if any.
+  std::optional<std::uint64_t> InconsistentSlot() const;
+  const SegmentCopy* Newest() const;
 
   std::uint64_t slots;
   std::uint64_t next_slot = 0;
   bool scanned = false;
   bool done = false;
-  std::map<std::uint64_t, Copy> copies;
+  std::map<std::uint64_t, SegmentCopy> copies;
 };
 
 }  // namespace toucanwharf::once
--- a/include/toucanwharf/once/shard.h
+++ b/include/toucanwharf/once/shard.h
@@ -14,44 +14,48 @@
 
 namespace toucanwharf::once {
 
-/// Sizes and paces of a shard's journal. All instances have the same `slots`.
+/// Sizes and intervals of a shard's journal. `slots` must be the same on all
+/// instances.
 struct ShardSettings {
-  /// Segments kept. 512 of 64 KB, times 4 shards, keep the keys of 3 calls a
-  /// second for the better part of a day and of 200 for a quarter of an hour.
+  /// Number of segments. 512 of 64 KB, times 4 shards, retain the keys of 3
+  /// calls per second for most of a day and of 200 per second for a quarter of
+  /// an hour.
   std::uint64_t slots = 512;
-  /// A segment is sealed once its entries are longer. Each commit writes the
-  /// tail anew, so a longer segment costs more bytes per commit, and a shorter
-  /// one more objects.
-  std::size_t seal_bytes = std::size_t{64} * 1024;
-  /// Most bytes of entries in one commit, well under the platform's limit.
+  /// A segment is sealed once its entries are longer. Each commit rewrites the
+  /// tail, so longer segments cost more bytes per commit, and shorter ones more
+  /// objects.
+  std::size_t seal_threshold_bytes = std::size_t{64} * 1024;
+  /// Soft limit of the bytes of entries in one commit; well below the
+  /// platform's limit.
   std::size_t batch_bytes = std::size_t{256} * 1024;
-  /// Least time between two commits: bounds the platform's writes under load;
-  /// a single call after a quiet time doesn't wait.
-  Duration commit_gap{std::chrono::milliseconds(20)};
-  /// How long an outcome waits for a claim to share its commit with.
-  Duration outcome_delay{std::chrono::milliseconds(50)};
-  /// Time between looks for the outcome of another instance's attempt.
-  Duration refresh{std::chrono::milliseconds(100)};
+  /// Minimum time between two commits. Bounds the platform's write rate under
+  /// load; a single call after an idle period doesn't wait.
+  Duration min_commit_interval{std::chrono::milliseconds(20)};
+  /// How long an outcome waits for a claim with which to share a commit.
+  Duration max_outcome_delay{std::chrono::milliseconds(50)};
+  /// Interval between reads for the outcome of another instance's attempt.
+  Duration refresh_interval{std::chrono::milliseconds(100)};
   /// A segment whose newest key is younger isn't overwritten; claims are
-  /// refused instead. Longer than any caller goes on repeating.
-  std::uint64_t least_retention_millis = 120'000;
-  /// How far a key's time may lie ahead of the wall clock.
+  /// refused instead. Longer than any caller keeps retrying.
+  std::uint64_t min_retention_millis = 120'000;
+  /// How far a key's time may be ahead of the wall clock.
   std::uint64_t clock_tolerance_millis = 60'000;
 
   friend bool operator==(const ShardSettings&, const ShardSettings&) = default;
 };
 
-/// A call on the platform that a shard wants made.
+/// A read or write that a shard requests from the platform's store.
 using ShardCall = std::variant<store::ObjectKey, store::Write>;
 
-/// One process's part in one shard of the journal of idempotency keys.
+/// This process's client of one shard of the journal of idempotency keys. It
+/// does no I/O; its owner makes the calls that Poll returns.
 ///
-/// A key may run once it is claimed in the journal by a conditional write on
-/// the tail segment. The write takes effect only if this process had seen
-/// every claim before it, so no two attempts hold a key, whoever else writes
-/// the shard at the same time, however long anybody was paused, and without a
-/// lease (I4). A claim is never taken over: after a claimant's death the
-/// outcome is unknown, for nobody can tell whether it had sent.
+/// A request may run once its key is claimed in the journal by a conditional
+/// write to the tail segment. The write takes effect only if this process has
+/// seen all earlier claims, so no two attempts hold the same key, even with
+/// concurrent writers and arbitrarily long pauses, and without a lease (I4).
+/// A claim is never taken over: if the claimant fails, the outcome is unknown,
+/// because nobody can determine whether it had sent the request.
 ///
 /// Concurrent claims share one write (group commit).
 ///
@@ -62,68 +66,70 @@
   Shard(const ShardSettings& settings, std::uint32_t number,
         std::string writer);
 
-  /// Asks for a key. Its Decision comes from TakeDecisions, at the latest when
-  /// Poll runs after the deadline.
+  /// Claims a key. TakeDecisions returns its Decision, at the latest after the
+  /// first Poll past the deadline.
   /// Precondition: request.claim is new, or repeats the same request.
   void Claim(ClaimRequest request);
-  /// Records how a granted claim ended: an Entry of any state but kClaimed.
-  void RecordOutcome(Entry conclusion, TimePoint now);
+  /// Records the outcome of a granted claim: an Entry of any state but
+  /// kClaimed.
+  void RecordOutcome(Entry result, TimePoint now);
 
-  /// Returns the call to make now, if any. At most one is outstanding; each is
-  /// answered by exactly one OnRead or OnWrite, also on a timeout.
+  /// Returns the call to make now, if any. At most one call is outstanding; the
+  /// owner reports each with exactly one OnRead or OnWrite, also on a timeout.
   std::optional<ShardCall> Poll(TimePoint now, std::uint64_t wall_millis);
   void OnRead(const store::ReadAnswer& answer);
   void OnWrite(const store::WriteAnswer& answer);
 
-  /// Returns what was decided since the last call.
+  /// Returns the decisions made since the last call.
   std::vector<Decision> TakeDecisions();
-  /// Returns whether nothing waits and nothing is under way: a process may
+  /// Returns whether nothing is pending or in progress, so that the process can
   /// stop without losing an outcome.
   bool Idle() const;
 
  private:
-  /// kFollow reads the slot after a sealed tail, kRefresh the tail itself.
-  enum class Phase { kLoad, kFollow, kRefresh, kReady, kCommit };
-  struct Pending {
+  /// kReadNext reads the slot after a sealed tail; kReadTail reads the tail.
+  enum class Phase { kLoad, kReadNext, kReadTail, kReady, kCommit };
+  struct PendingClaim {
     ClaimRequest request;
-    /// Whether a commit with the claim was ever sent.
-    bool tried = false;
+    /// Whether a commit with the claim was sent.
+    bool commit_sent = false;
   };
-  struct Conclusion {
+  struct PendingOutcome {
     Entry entry;
     TimePoint due;
   };
   struct Commit {
     store::ConditionalWrite write;
-    /// With the entries that the commit adds.
+    /// Contains only the entries that the commit adds.
     Segment segment;
   };
 
   store::ObjectKey SlotKey(std::uint64_t index) const;
   std::uint64_t NextIndex() const;
   bool NeedsNewSegment() const;
-  bool HasRoom(std::uint64_t wall_millis) const;
+  bool HasCapacity(std::uint64_t wall_millis) const;
   std::optional<ShardCall> Send(ShardCall call);
   std::optional<ShardCall> PollReady(TimePoint now, std::uint64_t wall_millis);
 
   void ExpireClaims(TimePoint now);
-  /// Returns the verdict that the journal already gives, if any.
-  std::optional<Verdict> Known(const ClaimRequest& request,
-                               std::uint64_t wall_millis) const;
-  void DecideKnown(std::uint64_t wall_millis);
-  bool Waits(const ClaimRequest& request) const;
-  bool AnyWaits() const;
+  /// Returns the verdict that follows from the journal as read, if any.
+  std::optional<Verdict> VerdictFromJournal(const ClaimRequest& request,
+                                            std::uint64_t wall_millis) const;
+  void DecideFromJournal(std::uint64_t wall_millis);
+  /// Returns whether another claim of the same key has no outcome yet.
+  bool Blocked(const ClaimRequest& request) const;
+  bool AnyBlocked() const;
   std::vector<Entry> GatherClaims();
-  void GatherConclusions(std::vector<Entry>& batch);
-  bool ConclusionDue(TimePoint now) const;
+  void GatherOutcomes(std::vector<Entry>& batch);
+  bool OutcomeDue(TimePoint now) const;
   ShardCall StartCommit(std::vector<Entry> batch);
 
-  void OnFollow(const store::ReadAnswer& answer);
-  void OnRefresh(const store::ReadAnswer& answer);
-  void SettleCommit();
-  void OnObstacle(const Segment& written,
-                  const std::optional<store::Object>& obstacle);
-  void TailChanged();
+  void OnReadNext(const store::ReadAnswer& answer);
+  void OnReadTail(const store::ReadAnswer& answer);
+  void FinishCommit();
+  void OnConflict(const Segment& written,
+                  const std::optional<store::Object>& conflicting);
+  void SelectPhase();
   void Reload();
 
   ShardSettings settings;
@@ -134,13 +140,13 @@
   bool outstanding = false;
   RingLoader loader;
   ShardView view;
-  std::uint64_t spare_version = 0;
-  std::uint64_t spare_newest_millis = 0;
+  std::uint64_t next_slot_version = 0;
+  std::uint64_t next_slot_newest_millis = 0;
   TimePoint next_commit;
   TimePoint next_refresh;
   std::optional<Commit> commit;
-  std::vector<Pending> pending;
-  std::vector<Conclusion> conclusions;
+  std::vector<PendingClaim> pending;
+  std::vector<PendingOutcome> outcomes;
   std::vector<Decision> decisions;
 };
 
--- a/include/toucanwharf/once/shard_view.h
+++ b/include/toucanwharf/once/shard_view.h
@@ -11,18 +11,19 @@
 
 namespace toucanwharf::once {
 
-/// What one process knows of a shard's journal: the segments up to a tail, and
-/// every key in them. It may be behind the store; a conditional write on the
-/// tail proves that it isn't.
+/// This process's copy of a shard's journal: the segments up to a tail, and the
+/// state of every key in them. It may lag behind the store; a successful
+/// conditional write to the tail confirms that it is current.
 /// Thread safety: none; for one thread.
 class ShardView {
  public:
-  /// Where a key stands, by the journal so far.
-  struct Known {
+  /// State of a key according to the journal so far.
+  struct KeyRecord {
     std::string claim;
     std::string digest;
     KeyState state = KeyState::kClaimed;
     Outcome outcome;
+    /// Index of the segment with the latest claim.
     std::uint64_t segment = 0;
   };
 
@@ -30,29 +31,31 @@
   explicit ShardView(std::uint64_t slots);
 
   /// Returns whether no segment exists yet.
-  bool Empty() const { return this->held.empty(); }
-  /// The last segment. Precondition of these: not Empty().
-  std::uint64_t TailIndex() const { return this->held.back().index; }
-  std::uint64_t TailVersion() const { return this->held.back().version; }
-  std::uint64_t TailNewest() const { return this->held.back().newest_millis; }
-  bool TailSealed() const { return this->held.back().sealed; }
+  bool Empty() const { return this->segments.empty(); }
+  /// Properties of the last segment. Precondition: not Empty().
+  std::uint64_t TailIndex() const { return this->segments.back().index; }
+  std::uint64_t TailVersion() const { return this->segments.back().version; }
+  std::uint64_t TailNewestMillis() const {
+    return this->segments.back().newest_millis;
+  }
+  bool TailSealed() const { return this->segments.back().sealed; }
   /// Returns the entries of the last segment, encoded and joined by commas.
-  const std::string& TailText() const { return this->tail_text; }
+  const std::string& TailEntriesText() const { return this->tail_entries_text; }
 
   /// Keys with a time up to this one are refused.
   std::uint64_t FloorMillis() const { return this->floor_millis; }
-  /// Returns what is known of \p key, or null.
-  const Known* Find(const std::string& key) const;
+  /// Returns the record of \p key, or null.
+  const KeyRecord* Find(const std::string& key) const;
 
-  /// Takes a newer copy of the last segment, or the one after it.
+  /// Applies a newer copy of the last segment, or the segment after it.
   /// Precondition: segment.index is TailIndex() or one more, or Empty().
-  void Adopt(const Segment& segment, std::uint64_t version);
-  /// Takes a commit of this process: as Adopt, but segment.entries holds only
-  /// what the commit added.
-  void Extend(const Segment& segment, std::uint64_t version);
+  void ApplyCopy(const Segment& segment, std::uint64_t version);
+  /// Applies a commit of this process: as ApplyCopy, but segment.entries
+  /// contains only the entries that the commit added.
+  void ApplyCommit(const Segment& segment, std::uint64_t version);
 
  private:
-  struct Held {
+  struct SegmentInfo {
     std::uint64_t index = 0;
     std::uint64_t version = 0;
     std::uint64_t newest_millis = 0;
@@ -62,14 +65,14 @@
   };
 
   void Advance(const Segment& segment, std::uint64_t version);
-  void Replay(const Entry& entry);
+  void ApplyEntry(const Entry& entry);
   void EvictOldest();
 
   std::uint64_t slots;
-  std::deque<Held> held;
-  std::string tail_text;
+  std::deque<SegmentInfo> segments;
+  std::string tail_entries_text;
   std::uint64_t floor_millis = 0;
-  std::map<std::string, Known> known;
+  std::map<std::string, KeyRecord> key_records;
 };
 
 }  // namespace toucanwharf::once
--- a/include/toucanwharf/pipeline/answer.h
+++ b/include/toucanwharf/pipeline/answer.h
@@ -13,15 +13,15 @@
 #include "toucanwharf/pipeline/plan.h"
 #include "toucanwharf/support/clock.h"
 
-/// What one answer's state machine is told and what it asks for. All are
-/// values; the daemon turns bytes and timers into events and carries the
-/// actions out in the order given.
+/// Events that the state machine of one answer handles, and the actions that
+/// it returns. All are values; the daemon turns bytes and timers into events
+/// and carries the actions out in the order given.
 namespace toucanwharf::pipeline {
 
-/// Whether a request ran, as its caller is told.
+/// Whether a request ran, as reported to its caller.
 enum class Ran { kNo, kUnknown, kPartly };
 
-/// Returns the word of the caller interface for \p ran.
+/// Returns the name of \p ran in the caller interface.
 /// Thread safety: safe.
 const char* RanName(Ran ran);
 
@@ -32,32 +32,32 @@
   std::uint32_t layers = 0;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_tokens = 1;
-  /// When the whole answer must have been given.
+  /// By when the last token must have reached the caller.
   TimePoint deadline;
 };
 
 // ---- Events -----------------------------------------------------------------
 
-/// A token of some attempt of some request reached the router.
+/// The router received a token; its request and attempt need not be current.
 struct TokenArrived {
   std::string request;
   std::uint32_t attempt = 0;
   std::uint32_t index = 0;
   std::string text;
-  /// Layers that ran, in order.
+  /// Layers that ran for this token, in order.
   std::vector<LayerRange> trace;
   bool last = false;
 };
 
-/// How a stream of an attempt broke.
+/// How a stream of an attempt failed.
 enum class StreamFault {
   /// No connection could be made to the first stage's endpoint.
   kConnectFailed,
   /// The connection was reset or ended without the last token.
   kConnectionLost,
-  /// The first stage's endpoint says that a later stage is lost.
+  /// The first stage's endpoint reports the loss of a later stage.
   kStageLost,
-  /// The endpoint sent what can't be read as the protocol.
+  /// The endpoint sent data that violates the protocol.
   kMalformed,
 };
 
@@ -67,12 +67,12 @@
   StreamFault fault = StreamFault::kConnectionLost;
   /// Position of the lost stage in the plan; only with kStageLost.
   std::optional<std::size_t> stage;
-  /// What the fault leaves open: kNo only if no byte of the attempt was sent.
+  /// Whether the attempt may have run: kNo only if no byte of it was sent.
   Ran ran = Ran::kUnknown;
 };
 
-/// The stream of \p attempt ended in good order; a fault unless the last
-/// token came before.
+/// The stream of \p attempt ended without an error; a fault unless the last
+/// token was received before.
 struct StreamEnded {
   std::uint32_t attempt = 0;
 };
@@ -80,29 +80,29 @@
 /// The first stage's endpoint refused \p attempt before anything ran.
 struct AttemptRefused {
   std::uint32_t attempt = 0;
-  /// Position of the stage that refused, if it said.
+  /// Position of the stage that refused, if reported.
   std::optional<std::size_t> stage;
 };
 
-/// The time of an `ArmTimer` came.
+/// The timer set by `ArmTimer` expired.
 struct TimerFired {};
 
-/// The caller closed its connection and did not ask for the answer to go on.
+/// The caller closed its connection and did not ask to keep the answer running.
 struct CallerDisconnected {};
 
-/// The plan that `RequestPlan` asked for.
+/// The plan in response to `RequestPlan`.
 struct PlanReady {
   std::uint32_t attempt = 0;
   Plan plan;
 };
 
-/// There is no plan for what `RequestPlan` asked.
+/// No plan satisfies `RequestPlan`.
 struct PlanFailed {
   std::uint32_t attempt = 0;
   std::error_code error;
 };
 
-/// The outcome of one probe of `ProbeStages`.
+/// The result of one liveness probe of `ProbeStages`.
 struct ProbeCompleted {
   std::uint32_t attempt = 0;
   std::string endpoint;
@@ -116,8 +116,8 @@
 
 // ---- Actions ----------------------------------------------------------------
 
-/// Plan attempt \p attempt without the endpoints in \p excluded and answer
-/// with PlanReady or PlanFailed.
+/// Plan attempt \p attempt without the endpoints in \p excluded; respond with
+/// PlanReady or PlanFailed.
 struct RequestPlan {
   std::uint32_t attempt = 0;
   std::uint32_t prompt_tokens = 0;
@@ -127,7 +127,7 @@
   friend bool operator==(const RequestPlan&, const RequestPlan&) = default;
 };
 
-/// Copy of the KV cache that a new stage may start from.
+/// A KV cache that stage `to` may copy from stage `from` instead of a prefill.
 struct KvImport {
   Stage from;
   Stage to;
@@ -135,22 +135,24 @@
   friend bool operator==(const KvImport&, const KvImport&) = default;
 };
 
-/// Start \p attempt on \p plan. The engine gets the prompt, the tokens so far
-/// and the same sampling seed as every attempt, and goes on at `first_index`.
+/// Start \p attempt on \p plan. The engine receives the prompt, the tokens so
+/// far and the sampling seed, which is the same for every attempt, and resumes
+/// at `first_index`.
 struct StartAttempt {
   std::uint32_t attempt = 0;
   Plan plan;
   std::uint32_t first_index = 0;
   std::vector<std::string> tokens;
-  /// Whether only a connection opened for this attempt will do.
+  /// Whether the attempt must use a newly opened connection.
   bool fresh_connection = false;
-  /// May be skipped when one fails or takes longer than the first token would.
+  /// Optional: skip an import that fails or that takes longer than the first
+  /// token would without it.
   std::vector<KvImport> imports;
 
   friend bool operator==(const StartAttempt&, const StartAttempt&) = default;
 };
 
-/// Hand the token out to the caller, and keep it for a resume.
+/// Send the token to the caller, and retain it for a resume.
 struct EmitToken {
   std::uint32_t index = 0;
   std::string text;
@@ -166,8 +168,8 @@
   friend bool operator==(const Cancel&, const Cancel&) = default;
 };
 
-/// Ask each stage's endpoint for its status on a fresh connection; answer each
-/// with ProbeCompleted, at the latest at \p deadline.
+/// Request the status of each stage's endpoint over a new connection; report
+/// each with ProbeCompleted, no later than \p deadline.
 struct ProbeStages {
   std::uint32_t attempt = 0;
   std::vector<Stage> stages;
@@ -176,8 +178,8 @@
   friend bool operator==(const ProbeStages&, const ProbeStages&) = default;
 };
 
-/// A connection to the endpoint went silent while a fresh one works: drop the
-/// idle connections of the same age, which the same cause may have hit.
+/// A connection to the endpoint stalled while a new one works: close the idle
+/// connections of the same age, since the same cause may affect them.
 struct SuspectConnection {
   std::string endpoint;
 
@@ -185,8 +187,8 @@
                          const SuspectConnection&) = default;
 };
 
-/// A fresh connection to the endpoint failed too, or its neighbour lost it:
-/// count it against the endpoint.
+/// A new connection to the endpoint or its probe failed, or another stage
+/// reported its loss: count a failure of the endpoint.
 struct SuspectEndpoint {
   std::string endpoint;
 
@@ -194,35 +196,37 @@
                          const SuspectEndpoint&) = default;
 };
 
-/// Send TimerFired at \p at; replaces the timer armed before.
+/// Send TimerFired at \p at; replaces the previously armed timer.
 struct ArmTimer {
   TimePoint at;
 
   friend bool operator==(const ArmTimer&, const ArmTimer&) = default;
 };
 
-/// What a recovery took, once its first token is handed out; for the time line.
+/// Record the durations of a recovery on the time line, once its first token is
+/// emitted.
 struct RecordRecovery {
   std::uint32_t attempt = 0;
-  /// Last progress before the fault to the moment it was noticed.
+  /// From the last progress before the fault to its detection.
   Duration detection{0};
-  /// To the start of the attempt that then progressed, other attempts included.
+  /// From there to the start of the attempt that made progress, including
+  /// failed attempts in between.
   Duration replanning{0};
-  /// To the next token.
+  /// From there to the next token.
   Duration resuming{0};
 
   friend bool operator==(const RecordRecovery&,
                          const RecordRecovery&) = default;
 };
 
-/// The answer is whole. Nothing follows.
+/// The answer is complete. No action follows.
 struct Finish {
   std::uint32_t tokens = 0;
 
   friend bool operator==(const Finish&, const Finish&) = default;
 };
 
-/// The answer is given up; the caller is told so at once. Nothing follows.
+/// The answer failed; report it to the caller immediately. No action follows.
 struct Fail {
   Ran ran = Ran::kUnknown;
   std::error_code error;
--- a/include/toucanwharf/pipeline/error.h
+++ b/include/toucanwharf/pipeline/error.h
@@ -5,21 +5,21 @@
 
 namespace toucanwharf::pipeline {
 
-/// What can keep an answer from being planned, finished or resumed.
+/// Why an answer can't be planned, finished or resumed.
 enum class Error {
   kNoCover = 1,
   kUnknownRequest,
-  kNotReached,
+  kIndexNotReached,
   kDeadlinePassed,
-  kAttemptsSpent,
-  kCallerLeft,
+  kOutOfAttempts,
+  kCallerDisconnected,
 };
 
 /// Returns the category of `Error`; each message names the remedy.
 /// Thread safety: safe.
 const std::error_category& PipelineCategory();
 
-/// Makes the code of \p error; found by argument-dependent lookup.
+/// Returns the code of \p error; found by argument-dependent lookup.
 /// Thread safety: safe.
 std::error_code make_error_code(Error error);
 
--- a/include/toucanwharf/pipeline/plan.h
+++ b/include/toucanwharf/pipeline/plan.h
@@ -10,8 +10,8 @@
 
 #include "toucanwharf/support/clock.h"
 
-/// Values of the pipeline library: which endpoints hold which layers, what
-/// the links between them cost, and the plan that one answer follows.
+/// Value types of the pipeline library: the layers that each endpoint holds,
+/// the costs of the links between them, and the plan of one answer.
 namespace toucanwharf::pipeline {
 
 /// Layers [begin, end) of a model.
@@ -26,7 +26,7 @@
   friend auto operator<=>(const LayerRange&, const LayerRange&) = default;
 };
 
-/// The weights that an answer is pinned to from its first token to its last.
+/// The weights that all tokens of one answer must come from.
 struct PinnedModel {
   std::string model;
   std::string version;
@@ -36,13 +36,13 @@
   friend auto operator<=>(const PinnedModel&, const PinnedModel&) = default;
 };
 
-/// Whether an endpoint may get new work.
+/// Whether an endpoint may receive new work; only kLive may.
 enum class EndpointState { kLive, kLeaving, kEjected };
 
-/// One model engine as the router sees it, from its status and load reports.
+/// State of one model engine, from its status and load reports.
 struct EndpointView {
   std::string id;
-  /// IP number and port.
+  /// IP address and port.
   std::string address;
   std::string failure_domain;
   std::string model;
@@ -52,25 +52,25 @@
   /// Time that one layer takes for one token.
   Duration layer_time{0};
   EndpointState state = EndpointState::kLive;
-  /// Time that new work waits before it runs, as last reported.
+  /// Queueing delay of new work, as last reported.
   Duration expected_wait{0};
 
   friend bool operator==(const EndpointView&, const EndpointView&) = default;
 };
 
-/// One-way delays between failure domains, and what is known to be added on
-/// the way to single endpoints.
+/// One-way delays between failure domains, and known extra delays to single
+/// endpoints.
 struct LinkCosts {
   /// By unordered pair of failure domains, the smaller name first.
   std::map<std::pair<std::string, std::string>, Duration> between;
-  /// For pairs that `between` does not name.
+  /// Defaults for pairs that `between` doesn't contain.
   Duration same_domain{std::chrono::microseconds(50)};
   Duration other_domain{std::chrono::microseconds(500)};
-  /// Extra one-way delay by endpoint id, such as a link that degraded.
+  /// Extra one-way delay by endpoint id, such as that of a degraded link.
   std::map<std::string, Duration> endpoint_penalty;
 
-  /// Returns the one-way delay between \p left and \p right without any
-  /// endpoint's penalty. Thread safety: safe while nothing writes.
+  /// Returns the one-way delay between failure domains \p left and \p right,
+  /// without endpoint penalties. Thread safety: safe while nothing writes.
   Duration Between(const std::string& left, const std::string& right) const;
 
   friend bool operator==(const LinkCosts&, const LinkCosts&) = default;
@@ -85,16 +85,16 @@
   friend bool operator==(const Stage&, const Stage&) = default;
 };
 
-/// What the answer should take on a plan if nothing fails.
+/// Expected times of an answer on a plan if nothing fails.
 struct PlanTimes {
-  /// Sum of the stages' expected waits; once for the answer.
+  /// Sum of the stages' expected waits; incurred once per answer.
   Duration wait{0};
   /// Compute and links for one token after the first.
   Duration token_gap{0};
-  /// Compute for each token of the prompt, which run side by side.
+  /// Compute per prompt token; prompt tokens are processed in parallel.
   Duration prompt_token{0};
 
-  /// Returns the expected time to the first token after a prompt (with the
+  /// Returns the expected time to the first token for a prompt (including the
   /// tokens so far) of \p prompt_tokens. Thread safety: safe.
   Duration FirstToken(std::uint32_t prompt_tokens) const {
     return this->wait + this->token_gap + this->prompt_token * prompt_tokens;
@@ -103,7 +103,7 @@
   friend bool operator==(const PlanTimes&, const PlanTimes&) = default;
 };
 
-/// An exact cover of all layers of one pinned model by stages, in order.
+/// An exact cover of all layers of one pinned model by ordered stages.
 struct Plan {
   PinnedModel model;
   std::vector<Stage> stages;
@@ -112,12 +112,12 @@
   friend bool operator==(const Plan&, const Plan&) = default;
 };
 
-/// Returns whether \p ranges name each layer of [0, \p layers) exactly once
+/// Returns whether \p ranges contain each layer of [0, \p layers) exactly once
 /// and in order. Thread safety: safe.
 bool IsExactCover(const std::vector<LayerRange>& ranges, std::uint32_t layers);
 
-/// Returns whether \p trace, the layers that ran for one token, is just what
-/// \p plan asked for. Thread safety: safe.
+/// Returns whether \p trace, the layers that ran for one token, is exactly the
+/// sequence of layers in \p plan. Thread safety: safe.
 bool MatchesPlan(const std::vector<LayerRange>& trace, const Plan& plan);
 
 }  // namespace toucanwharf::pipeline
--- a/include/toucanwharf/records/parse.h
+++ b/include/toucanwharf/records/parse.h
@@ -12,11 +12,11 @@
 
 namespace toucanwharf::records {
 
-/// Versions of the record schemas. They live side by side: each parses to the
-/// same values.
+/// Versions of the record schemas. All are supported at the same time and parse
+/// to the same values.
 enum class SchemaVersion { kV1, kV2 };
 
-/// A record together with the schema version that it was written in.
+/// A record and the schema version of its document.
 struct Document {
   SchemaVersion schema = SchemaVersion::kV2;
   Record record;
@@ -24,8 +24,8 @@
   friend bool operator==(const Document&, const Document&) = default;
 };
 
-/// Returns the names of the schema versions that this build reads, oldest
-/// first, such as "toucanwharf/v1".
+/// Returns the names of the supported schema versions, oldest first, such as
+/// "toucanwharf/v1".
 /// Thread safety: safe.
 std::vector<std::string> SupportedSchemas();
 
@@ -33,19 +33,19 @@
 /// Thread safety: safe.
 std::string NameOf(SchemaVersion version);
 
-/// Parses and checks a record document; every problem is returned at once.
-/// Any bytes are allowed.
+/// Parses and checks a record document; returns all problems together.
+/// \p text may be any bytes.
 /// Thread safety: safe.
 schema::Checked<Document> ParseRecord(std::string_view text);
 
-/// The same for a value that was read already.
-/// Precondition: \p document came from schema::ParseJson or is as small and
-/// shallow.
+/// The same for a parsed JSON value.
+/// Precondition: \p document is from schema::ParseJson or within its limits of
+/// size and depth.
 /// Thread safety: safe.
 schema::Checked<Document> ParseRecordValue(const nlohmann::json& document);
 
-/// Returns the canonical document of \p record: every member present, in the
-/// shape of \p version. ParseRecord of the result gives \p record again.
+/// Returns the canonical document of \p record in schema \p version, with every
+/// member present. ParseRecord of the result returns \p record again.
 /// Thread safety: safe.
 nlohmann::json ToJson(const Record& record,
                       SchemaVersion version = SchemaVersion::kV2);
@@ -59,25 +59,25 @@
 /// Thread safety: safe.
 std::string NameOf(const Record& record);
 
-/// Returns the object name of \p record in the platform's collections,
+/// Returns the object key of \p record in the platform's collections,
 /// "{kind}.{name}".
 /// Thread safety: safe.
 std::string KeyOf(const Record& record);
 
-/// Checks what one record alone can't show: that what it names exists and fits,
-/// and that no two customers share a key. The pointer of each problem begins
-/// with the record's key, such as "/pipeline.qa-model/spec/model". A record
-/// that stands twice counts with its last value.
+/// Checks the constraints between records: that referenced records exist and
+/// match, and that no two customers share a key. The pointer of each problem
+/// begins with the record's key, such as "/pipeline.qa-model/spec/model". Of
+/// records with the same key, the last one counts.
 /// Thread safety: safe.
 schema::Problems CheckReferences(const std::vector<Record>& records);
 
-/// Builds the catalog of \p generation. A record that stands twice counts with
-/// its last value.
+/// Builds the catalog of \p generation. Of records with the same key, the last
+/// one counts.
 /// Thread safety: safe.
 Catalog BuildCatalog(std::uint64_t generation,
                      const std::vector<Record>& records);
 
-/// Returns all records of \p catalog, by kind and then by name.
+/// Returns all records of \p catalog, ordered by kind, then by name.
 /// Thread safety: safe.
 std::vector<Record> RecordsOf(const Catalog& catalog);
 
--- a/include/toucanwharf/records/records.h
+++ b/include/toucanwharf/records/records.h
@@ -9,12 +9,11 @@
 
 #include "toucanwharf/support/clock.h"
 
-/// The records that operators write, as values. Each is made by the parser of
-/// its schema version (parse.h) and never changed afterwards; whoever needs
-/// another value makes a new one.
+/// The records that operators write, as immutable values. The parser of the
+/// schema version (parse.h) creates them; a change creates a new value.
 namespace toucanwharf::records {
 
-/// A family of weights that shares one shape.
+/// A family of weights with the same shape.
 struct Model {
   std::string name;
   std::uint32_t layers = 0;
@@ -24,17 +23,17 @@
   friend bool operator==(const Model&, const Model&) = default;
 };
 
-/// One set of weights of a model.
+/// One set of weights for a model.
 struct ModelVersion {
   std::string name;
   std::string model;
-  /// Where the weight store keeps them.
+  /// Location of the weights in the weight store.
   std::string weights;
 
   friend bool operator==(const ModelVersion&, const ModelVersion&) = default;
 };
 
-/// A small change of weights on top of one version.
+/// A small modification of the weights of one version.
 struct Adapter {
   std::string name;
   std::string model;
@@ -43,21 +42,21 @@
   friend bool operator==(const Adapter&, const Adapter&) = default;
 };
 
-/// What callers name as `model`: a version, and maybe an adapter, as served.
+/// What callers select as `model`: a version, optionally with an adapter.
 struct Pipeline {
   std::string name;
   std::string model;
   std::string version;
   /// Empty for none.
   std::string adapter;
-  /// Complete covers of the layers to keep loaded.
+  /// Number of complete covers of the layers to keep loaded.
   std::uint32_t replicas = 1;
   std::uint32_t max_tokens = 1024;
 
   friend bool operator==(const Pipeline&, const Pipeline&) = default;
 };
 
-/// Who calls, by the hash of its bearer key.
+/// A customer, identified by the hash of its bearer key.
 struct Customer {
   std::string name;
   std::string key_sha256;
@@ -67,18 +66,18 @@
   friend bool operator==(const Customer&, const Customer&) = default;
 };
 
-/// One kind of call of a plain service.
+/// A class of calls to a plain service.
 struct ServiceCall {
   std::string method;
   std::string path_prefix;
-  /// Whether the call may be repeated without harm.
+  /// Whether the call may safely be repeated.
   bool idempotent = false;
 
   friend bool operator==(const ServiceCall&, const ServiceCall&) = default;
 };
 
-/// A plain service beside the model engines. A call that no entry of `calls`
-/// matches is taken as not idempotent.
+/// A plain service besides the model engines. A call that matches no entry of
+/// `calls` is treated as not idempotent.
 struct Service {
   std::string name;
   std::vector<ServiceCall> calls;
--- a/include/toucanwharf/timeline/buffer.h
+++ b/include/toucanwharf/timeline/buffer.h
@@ -11,7 +11,7 @@
 
 namespace toucanwharf::timeline {
 
-/// Events of one instance that are left in its buffer.
+/// Events that one instance still has in its buffer.
 struct Page {
   std::string instance;
   /// Events that were overwritten since the instance started.
@@ -21,30 +21,31 @@
   friend bool operator==(const Page&, const Page&) = default;
 };
 
-/// The last events of one process. When it is full the oldest event gives way,
-/// so that memory stays bounded however long the process runs.
+/// Ring buffer of the most recent events of one process. When it is full, the
+/// oldest event is overwritten, so that memory stays bounded.
 /// Thread safety: none; one owner.
 class Buffer {
  public:
-  /// Keeps at most \p capacity events of \p instance.
+  /// Retains at most \p capacity events of \p instance.
   /// Precondition: capacity > 0.
   Buffer(std::string instance, std::size_t capacity);
 
-  /// Records what happened at wall clock time \p wall_millis. A reason longer
-  /// than kMaxReasonBytes is cut.
+  /// Records an event at wall clock time \p wall_millis. A reason longer than
+  /// kMaxReasonBytes is truncated.
   void Add(std::uint64_t wall_millis, EventDetails details);
 
-  /// Takes the stamp that came with a message of another instance.
+  /// Advances the clock by the stamp in a message from another instance; see
+  /// HybridClock::Observe.
   void Observe(Stamp remote, std::uint64_t wall_millis);
 
-  /// Returns the stamp of the last event, to be sent along with messages.
+  /// Returns the stamp of the last event, to be sent with messages.
   Stamp Last() const { return this->last; }
 
-  /// Returns at most \p limit events with a sequence above \p sequence, oldest
-  /// first.
+  /// Returns at most \p limit events with a sequence number above \p sequence,
+  /// oldest first.
   Page After(std::uint64_t sequence, std::size_t limit) const;
 
-  /// Returns how many events gave way to newer ones.
+  /// Returns the number of events that were overwritten.
   std::uint64_t Dropped() const { return this->dropped; }
 
  private:
@@ -57,7 +58,7 @@
   std::deque<Event> events;
 };
 
-/// Bytes that the reason of one event keeps.
+/// Longer reasons of events are truncated to this length.
 inline constexpr std::size_t kMaxReasonBytes = 256;
 
 }  // namespace toucanwharf::timeline
--- a/include/toucanwharf/timeline/codec.h
+++ b/include/toucanwharf/timeline/codec.h
@@ -11,20 +11,20 @@
 namespace toucanwharf::timeline {
 
 /// Why a page could not be read.
-enum class TimelineError { kNotAPage = 1 };
+enum class TimelineError { kMalformedPage = 1 };
 
 /// Returns the category of TimelineError. Thread safety: safe.
 const std::error_category& TimelineCategory();
 
-/// Lets a TimelineError become a std::error_code by itself.
+/// Returns the code of \p error; found by argument-dependent lookup.
 std::error_code make_error_code(TimelineError error);
 
-/// Returns \p page as the JSON of `GET /admin/timeline`. Bytes that are no
+/// Returns \p page as the JSON of `GET /admin/timeline`. Bytes that are not
 /// UTF-8 are replaced. Thread safety: safe.
 std::string ToJson(const Page& page);
 
-/// Reads what ToJson wrote. Any bytes are allowed; events of kinds that this
-/// build does not know are left out. Errors: kNotAPage.
+/// Parses the output of ToJson. \p text may be any bytes; malformed events and
+/// those of unknown kinds are skipped. Errors: kMalformedPage.
 /// Thread safety: safe.
 Result<Page> ParsePage(std::string_view text);
 
--- a/include/toucanwharf/timeline/event.h
+++ b/include/toucanwharf/timeline/event.h
@@ -10,15 +10,15 @@
 
 namespace toucanwharf::timeline {
 
-/// What happened.
+/// Kinds of events; NameOf returns their names in JSON.
 enum class EventKind {
-  // The process.
+  // Process.
   kStarted,
   kDrainBegan,
   kStopped,
   kPlatformUnreachable,
   kPlatformReachable,
-  // Requests of callers.
+  // Callers' requests.
   kRequestAccepted,
   kRequestRefused,
   kRequestQueued,
@@ -28,7 +28,7 @@
   kAnswerResumed,
   kAnswerFinished,
   kAnswerFailed,
-  kCallerLeft,
+  kCallerDisconnected,
   kCallStarted,
   kCallFinished,
   kClaimWritten,
@@ -51,14 +51,14 @@
   kPlacementChanged,
 };
 
-/// Returns the name of \p kind as it stands in JSON, such as "stage_lost".
+/// Returns the name of \p kind in JSON, such as "stage_lost".
 /// Thread safety: safe.
 std::string_view NameOf(EventKind kind);
 
-/// Returns the kind of that name, or nothing. Thread safety: safe.
+/// Returns the kind named \p name, or nothing. Thread safety: safe.
 std::optional<EventKind> KindOf(std::string_view name);
 
-/// What an event speaks of; what does not apply stays empty.
+/// Details of an event; members that don't apply are empty.
 struct EventDetails {
   EventKind kind = EventKind::kStarted;
   /// Id of the caller's request.
@@ -68,7 +68,7 @@
   /// Id of the endpoint or instance that the event is about.
   std::string endpoint;
   std::uint32_t attempt = 0;
-  /// Why, in words for people.
+  /// Human-readable reason.
   std::string reason;
 
   friend bool operator==(const EventDetails&, const EventDetails&) = default;
@@ -76,10 +76,10 @@
 
 /// An event as its instance recorded it.
 struct Event {
-  /// Counts up by one per instance, from 1; a gap means events were dropped.
+  /// Sequence number on the instance, from 1; a gap means dropped events.
   std::uint64_t sequence = 0;
   Stamp stamp;
-  /// The instance's own wall clock, milliseconds since 1970.
+  /// The instance's wall clock, in milliseconds since 1970.
   std::uint64_t wall_millis = 0;
   EventDetails details;
 
--- a/include/toucanwharf/timeline/hybrid_clock.h
+++ b/include/toucanwharf/timeline/hybrid_clock.h
@@ -9,9 +9,9 @@
 
 namespace toucanwharf::timeline {
 
-/// A hybrid logical clock reading: wall clock time that never falls behind a
-/// reading that it may depend on, with a counter for readings within one
-/// millisecond.
+/// A reading of a hybrid logical clock: wall clock time that is never behind a
+/// reading on which it may depend, with a counter that orders readings of the
+/// same millisecond.
 struct Stamp {
   /// Milliseconds since 1970.
   std::uint64_t millis = 0;
@@ -23,29 +23,29 @@
 /// Returns \p stamp as "millis.counter". Thread safety: safe.
 std::string ToText(Stamp stamp);
 
-/// Returns the stamp that ToText wrote, or nothing for any other text.
+/// Parses the output of ToText; returns nothing for any other text.
 /// Thread safety: safe.
 std::optional<Stamp> ParseStamp(std::string_view text);
 
-/// A stamp from another instance that is further ahead than this is not
-/// followed.
-inline constexpr std::uint64_t kMaxAheadMillis = 60000;
+/// A stamp from another instance that is further ahead of the local wall clock
+/// is ignored.
+inline constexpr std::uint64_t kMaxRemoteLeadMillis = 60000;
 
 /// Hybrid logical clock (Kulkarni et al., 2014). If one event can have caused
-/// another, and the stamps travelled with the messages between them, its stamp
-/// is the smaller one, however far the instances' wall clocks disagree. Orders
-/// what people read; no decision depends on it.
-/// Thread safety: none; one owner.
+/// another, and the messages between them carried stamps, its stamp is smaller,
+/// regardless of the skew between the instances' wall clocks. Used only to
+/// order events for display; no decision depends on it. Thread safety: none;
+/// one owner.
 class HybridClock {
  public:
   /// Returns the stamp of an event at wall clock time \p wall_millis; larger
   /// than all earlier results.
   Stamp Tick(std::uint64_t wall_millis);
 
-  /// Takes the stamp that came with a message, so that later events get
-  /// larger ones. A stamp more than kMaxAheadMillis ahead of \p wall_millis is
-  /// ignored: one instance with a broken clock would otherwise drag every
-  /// other one's time line into the future for good.
+  /// Advances the clock to the stamp in a message, so that later events get
+  /// larger ones. A stamp more than kMaxRemoteLeadMillis ahead of
+  /// \p wall_millis is ignored: otherwise one instance with a wrong clock would
+  /// permanently move every other instance's time line into the future.
   void Observe(Stamp remote, std::uint64_t wall_millis);
 
  private:
--- a/include/toucanwharf/timeline/merge.h
+++ b/include/toucanwharf/timeline/merge.h
@@ -16,21 +16,21 @@
   friend bool operator==(const MergedEvent&, const MergedEvent&) = default;
 };
 
-/// Returns the events of all \p pages, ordered by stamp; events of equal stamps
-/// by instance and sequence, so that the order is the same each time.
+/// Returns the events of all \p pages, ordered by stamp, then by instance and
+/// sequence number, so that the order is deterministic.
 /// Thread safety: safe.
 std::vector<MergedEvent> Merge(const std::vector<Page>& pages);
 
-/// Returns \p events as lines for people, times in UTC.
+/// Returns \p events as human-readable lines, with times in UTC.
 /// Thread safety: safe.
 std::string ToText(const std::vector<MergedEvent>& events);
 
 /// Returns \p events as one JSON array. Thread safety: safe.
 std::string ToJson(const std::vector<MergedEvent>& events);
 
-/// Returns \p events in the Trace Event Format that Chrome's viewer and
-/// Perfetto open: a row for each instance, a bar for each request from its
-/// first to its last event there, and a mark for each event.
+/// Returns \p events in the Trace Event Format of Chrome's trace viewer and
+/// Perfetto: a row for each instance, a bar for each request from its first to
+/// its last event on that instance, and an instant event for each event.
 /// Thread safety: safe.
 std::string ToChromeTrace(const std::vector<MergedEvent>& events);
 
--- a/lib/once/segment.cc
+++ b/lib/once/segment.cc
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-bool CanKeep(const std::string& body) {
-  if (body.size() > kMaxKeptBody) return false;
+bool CanRetainBody(const std::string& body) {
+  if (body.size() > kMaxRetainedBodyBytes) return false;
   const std::string text =
       Json(body).dump(-1, ' ', false, Json::error_handler_t::replace);
   return Json::parse(text, nullptr, false) == Json(body);
@@ -48,7 +48,7 @@
     json["body"] = entry.outcome.body;
     if (!entry.outcome.body_retained) json["cut"] = true;
   }
-  // Keys and types come from outside and need not be UTF-8.
+  // Keys and content types are external input and may not be UTF-8.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -72,10 +72,10 @@
   const auto newest = CountMember(json, "newest_millis");
   const auto sealed = json.find("sealed");
   const auto entries = json.find("entries");
-  const bool whole = index && floor && newest && sealed != json.end() &&
+  const bool valid = index && floor && newest && sealed != json.end() &&
                      sealed->is_boolean() && entries != json.end() &&
                      entries->is_array();
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   Segment segment{*index, sealed->get<bool>(), *floor, *newest, {}};
   for (const Json& item : *entries) {
     auto entry = DecodeEntry(item);
--- a/lib/once/shard.cc
+++ b/lib/once/shard.cc
@@ -19,16 +19,16 @@
       view(shard_settings.slots) {}
 
 void Shard::Claim(ClaimRequest request) {
-  this->pending.push_back(Pending{std::move(request), false});
+  this->pending.push_back(PendingClaim{std::move(request), false});
 }
 
-void Shard::RecordOutcome(Entry conclusion, TimePoint now) {
-  if (!CanKeep(conclusion.outcome.body)) {
-    conclusion.outcome.body.clear();
-    conclusion.outcome.body_retained = false;
+void Shard::RecordOutcome(Entry result, TimePoint now) {
+  if (!CanRetainBody(result.outcome.body)) {
+    result.outcome.body.clear();
+    result.outcome.body_retained = false;
   }
-  this->conclusions.push_back(
-      Conclusion{std::move(conclusion), now + this->settings.outcome_delay});
+  this->outcomes.push_back(PendingOutcome{
+      std::move(result), now + this->settings.max_outcome_delay});
 }
 
 std::vector<Decision> Shard::TakeDecisions() {
@@ -36,7 +36,7 @@
 }
 
 bool Shard::Idle() const {
-  return this->pending.empty() && this->conclusions.empty() &&
+  return this->pending.empty() && this->outcomes.empty() &&
          !this->commit.has_value();
 }
 
@@ -54,11 +54,11 @@
   return this->view.Empty() || this->view.TailSealed();
 }
 
-bool Shard::HasRoom(std::uint64_t wall_millis) const {
-  if (!this->NeedsNewSegment() || this->spare_version == 0) return true;
-  // A wall clock that runs fast overwrites young keys early. They are refused
-  // from then on, because the floor rises in the same write; none runs twice.
-  return this->spare_newest_millis + this->settings.least_retention_millis <=
+bool Shard::HasCapacity(std::uint64_t wall_millis) const {
+  if (!this->NeedsNewSegment() || this->next_slot_version == 0) return true;
+  // A fast wall clock overwrites young keys early. The same write raises the
+  // floor, so these keys are refused from then on and none runs twice.
+  return this->next_slot_newest_millis + this->settings.min_retention_millis <=
          wall_millis;
 }
 
@@ -74,9 +74,9 @@
     case Phase::kLoad:
       if (this->Idle()) return std::nullopt;
       return this->Send(this->SlotKey(this->loader.NextSlot()));
-    case Phase::kFollow:
+    case Phase::kReadNext:
       return this->Send(this->SlotKey(this->NextIndex()));
-    case Phase::kRefresh:
+    case Phase::kReadTail:
       return this->Send(this->SlotKey(this->view.TailIndex()));
     case Phase::kCommit:
       if (this->commit->write.Next() == ConditionalWrite::Step::kRead) {
@@ -91,54 +91,54 @@
 
 std::optional<ShardCall> Shard::PollReady(TimePoint now,
                                           std::uint64_t wall_millis) {
-  this->DecideKnown(wall_millis);
-  const bool full = !this->HasRoom(wall_millis);
-  const bool look = this->AnyWaits() || (full && !this->Idle());
-  if (look && now >= this->next_refresh) {
-    this->next_refresh = now + this->settings.refresh;
-    const bool follow = this->NeedsNewSegment();
-    this->phase = follow ? Phase::kFollow : Phase::kRefresh;
+  this->DecideFromJournal(wall_millis);
+  const bool full = !this->HasCapacity(wall_millis);
+  const bool read_journal = this->AnyBlocked() || (full && !this->Idle());
+  if (read_journal && now >= this->next_refresh) {
+    this->next_refresh = now + this->settings.refresh_interval;
+    const bool read_next = this->NeedsNewSegment();
+    this->phase = read_next ? Phase::kReadNext : Phase::kReadTail;
     const std::uint64_t index =
-        follow ? this->NextIndex() : this->view.TailIndex();
+        read_next ? this->NextIndex() : this->view.TailIndex();
     return this->Send(this->SlotKey(index));
   }
   if (full || now < this->next_commit) return std::nullopt;
   std::vector<Entry> batch = this->GatherClaims();
-  if (!batch.empty() || this->ConclusionDue(now)) {
-    this->GatherConclusions(batch);
+  if (!batch.empty() || this->OutcomeDue(now)) {
+    this->GatherOutcomes(batch);
   }
   if (batch.empty()) return std::nullopt;
-  this->next_commit = now + this->settings.commit_gap;
+  this->next_commit = now + this->settings.min_commit_interval;
   return this->Send(this->StartCommit(std::move(batch)));
 }
 
 ShardCall Shard::StartCommit(std::vector<Entry> batch) {
   Segment segment;
-  std::uint64_t if_version = this->spare_version;
+  std::uint64_t if_version = this->next_slot_version;
   std::string text;
   segment.floor_millis = this->view.FloorMillis();
   if (this->NeedsNewSegment()) {
     segment.index = this->NextIndex();
-    if (this->spare_version != 0) {
+    if (this->next_slot_version != 0) {
       segment.floor_millis =
-          std::max(segment.floor_millis, this->spare_newest_millis);
+          std::max(segment.floor_millis, this->next_slot_newest_millis);
     }
   } else {
     segment.index = this->view.TailIndex();
-    segment.newest_millis = this->view.TailNewest();
+    segment.newest_millis = this->view.TailNewestMillis();
     if_version = this->view.TailVersion();
-    text = this->view.TailText();
+    text = this->view.TailEntriesText();
   }
   for (const Entry& entry : batch) {
     if (!text.empty()) text.push_back(',');
     text.append(EncodeEntry(entry));
   }
-  for (const Pending& claim : this->pending) {
-    if (!claim.tried) continue;
+  for (const PendingClaim& claim : this->pending) {
+    if (!claim.commit_sent) continue;
     segment.newest_millis =
         std::max(segment.newest_millis, claim.request.key_millis);
   }
-  segment.sealed = text.size() > this->settings.seal_bytes;
+  segment.sealed = text.size() > this->settings.seal_threshold_bytes;
   store::Write write{this->SlotKey(segment.index),
                      this->writer + "-" + std::to_string(this->number) + "-" +
                          std::to_string(++this->writes),
@@ -156,18 +156,18 @@
       this->loader.OnRead(answer);
       if (!this->loader.Done()) return;
       this->view = this->loader.MakeView();
-      this->spare_version = 0;
-      this->TailChanged();
+      this->next_slot_version = 0;
+      this->SelectPhase();
       return;
-    case Phase::kFollow:
-      this->OnFollow(answer);
+    case Phase::kReadNext:
+      this->OnReadNext(answer);
       return;
-    case Phase::kRefresh:
-      this->OnRefresh(answer);
+    case Phase::kReadTail:
+      this->OnReadTail(answer);
       return;
     case Phase::kCommit:
       this->commit->write.OnRead(answer);
-      this->SettleCommit();
+      this->FinishCommit();
       return;
     case Phase::kReady:
       return;
@@ -178,12 +178,12 @@
   this->outstanding = false;
   if (!this->commit.has_value()) return;
   this->commit->write.OnWrite(answer);
-  this->SettleCommit();
+  this->FinishCommit();
 }
 
-void Shard::TailChanged() {
-  const bool follow = !this->view.Empty() && this->view.TailSealed();
-  this->phase = follow ? Phase::kFollow : Phase::kReady;
+void Shard::SelectPhase() {
+  const bool read_next = !this->view.Empty() && this->view.TailSealed();
+  this->phase = read_next ? Phase::kReadNext : Phase::kReady;
 }
 
 void Shard::Reload() {
@@ -191,70 +191,70 @@
   this->phase = Phase::kLoad;
 }
 
-void Shard::OnFollow(const store::ReadAnswer& answer) {
+void Shard::OnReadNext(const store::ReadAnswer& answer) {
   if (answer.status == store::ReadStatus::kUnknown) return;
   this->phase = Phase::kReady;
   if (answer.status == store::ReadStatus::kMissing) {
-    this->spare_version = 0;
+    this->next_slot_version = 0;
     return;
   }
   const std::optional<Segment> segment = DecodeSegment(answer.object.value);
   if (!segment.has_value()) return this->Reload();
   const std::uint64_t next = this->NextIndex();
   if (segment->index == next) {
-    this->view.Adopt(*segment, answer.object.version);
-    return this->TailChanged();
+    this->view.ApplyCopy(*segment, answer.object.version);
+    return this->SelectPhase();
   }
   if (segment->index > next) return this->Reload();
-  // The segment that the next one will overwrite; if the read was stale, the
-  // conditional write finds out.
-  this->spare_version = answer.object.version;
-  this->spare_newest_millis = segment->newest_millis;
+  // The next segment will overwrite this one; if the read was stale, the
+  // conditional write fails.
+  this->next_slot_version = answer.object.version;
+  this->next_slot_newest_millis = segment->newest_millis;
 }
 
-void Shard::OnRefresh(const store::ReadAnswer& answer) {
+void Shard::OnReadTail(const store::ReadAnswer& answer) {
   if (answer.status == store::ReadStatus::kUnknown) return;
   this->phase = Phase::kReady;
   if (answer.status == store::ReadStatus::kMissing) return;
-  // Older than what was already seen: a stale read.
+  // Not newer than the view: the tail is unchanged or the read was stale.
   if (answer.object.version <= this->view.TailVersion()) return;
   const std::optional<Segment> segment = DecodeSegment(answer.object.value);
   if (!segment.has_value() || segment->index != this->view.TailIndex()) {
     return this->Reload();
   }
-  this->view.Adopt(*segment, answer.object.version);
-  this->TailChanged();
+  this->view.ApplyCopy(*segment, answer.object.version);
+  this->SelectPhase();
 }
 
-void Shard::SettleCommit() {
+void Shard::FinishCommit() {
   const ConditionalWrite::Step step = this->commit->write.Next();
   const Segment written = this->commit->segment;
   if (step == ConditionalWrite::Step::kApplied) {
-    this->view.Extend(written, this->commit->write.AppliedVersion());
+    this->view.ApplyCommit(written, this->commit->write.AppliedVersion());
     this->commit.reset();
-    this->TailChanged();
+    this->SelectPhase();
     return;
   }
   if (step != ConditionalWrite::Step::kConflict) return;
-  const std::optional<store::Object> obstacle =
+  const std::optional<store::Object> conflicting =
       this->commit->write.ConflictingObject();
   this->commit.reset();
-  this->OnObstacle(written, obstacle);
+  this->OnConflict(written, conflicting);
 }
 
-void Shard::OnObstacle(const Segment& written,
-                       const std::optional<store::Object>& obstacle) {
+void Shard::OnConflict(const Segment& written,
+                       const std::optional<store::Object>& conflicting) {
   this->phase = Phase::kReady;
-  if (!obstacle.has_value()) return this->Reload();
-  const std::optional<Segment> segment = DecodeSegment(obstacle->value);
+  if (!conflicting.has_value()) return this->Reload();
+  const std::optional<Segment> segment = DecodeSegment(conflicting->value);
   if (!segment.has_value()) return this->Reload();
   if (segment->index == written.index) {
-    this->view.Adopt(*segment, obstacle->version);
-    return this->TailChanged();
+    this->view.ApplyCopy(*segment, conflicting->version);
+    return this->SelectPhase();
   }
   if (segment->index > written.index) return this->Reload();
-  this->spare_version = obstacle->version;
-  this->spare_newest_millis = segment->newest_millis;
+  this->next_slot_version = conflicting->version;
+  this->next_slot_newest_millis = segment->newest_millis;
 }
 
 }  // namespace toucanwharf::once
--- a/lib/once/shard_claims.cc
+++ b/lib/once/shard_claims.cc
@@ -1,5 +1,5 @@
-// What a shard does with the claims and conclusions that wait: which are
-// decided by what the journal already says, and which go into the next commit.
+// Handling of a shard's pending claims and outcomes: which claims the journal
+// already decides, and which entries go into the next commit.
 
 #include <algorithm>
 #include <set>
@@ -17,90 +17,96 @@
 }  // namespace
 
 void Shard::ExpireClaims(TimePoint now) {
-  std::vector<Pending> left;
-  for (Pending& claim : this->pending) {
+  std::vector<PendingClaim> remaining;
+  for (PendingClaim& claim : this->pending) {
     const ClaimRequest& request = claim.request;
     if (now < request.deadline) {
-      left.push_back(std::move(claim));
+      remaining.push_back(std::move(claim));
       continue;
     }
-    const IdempotencyError reason = this->Waits(request)
+    const IdempotencyError reason = this->Blocked(request)
                                         ? IdempotencyError::kInProgress
                                         : IdempotencyError::kJournalUnreachable;
     this->decisions.push_back(Decision{request.claim, Unknown(reason)});
-    if (!claim.tried) continue;
-    // The claim may be in the journal, or land there later, and nobody will
-    // send for it: say so, or every repeat would end as unknown.
+    if (!claim.commit_sent) continue;
+    // The claim may be in the journal, or get there later, but its request will
+    // never be sent. Record that; otherwise the outcome of every repeat would
+    // be unknown.
     Entry not_run{request.key, request.claim, "", KeyState::kNotRun, {}};
-    this->conclusions.push_back(Conclusion{std::move(not_run), now});
+    this->outcomes.push_back(PendingOutcome{std::move(not_run), now});
   }
-  this->pending = std::move(left);
+  this->pending = std::move(remaining);
 }
 
-std::optional<Verdict> Shard::Known(const ClaimRequest& request,
-                                    std::uint64_t wall_millis) const {
-  const ShardView::Known* known = this->view.Find(request.key);
-  if (known != nullptr) {
-    if (known->digest != request.digest)
+std::optional<Verdict> Shard::VerdictFromJournal(
+    const ClaimRequest& request, std::uint64_t wall_millis) const {
+  const ShardView::KeyRecord* record = this->view.Find(request.key);
+  if (record != nullptr) {
+    if (record->digest != request.digest) {
       return Unknown(IdempotencyError::kKeyReused);
-    if (known->state == KeyState::kDone) return known->outcome;
-    if (known->state == KeyState::kOutcomeLost) {
+    }
+    if (record->state == KeyState::kDone) return record->outcome;
+    if (record->state == KeyState::kOutcomeLost) {
       return Unknown(IdempotencyError::kOutcomeLost);
     }
-    if (known->state == KeyState::kClaimed) {
-      if (known->claim != request.claim) return std::nullopt;
+    if (record->state == KeyState::kClaimed) {
+      if (record->claim != request.claim) return std::nullopt;
       return Granted{};
     }
   }
   const std::uint64_t latest =
       wall_millis + this->settings.clock_tolerance_millis;
-  if (request.key_millis > latest)
+  if (request.key_millis > latest) {
     return Unknown(IdempotencyError::kKeyMalformed);
-  // The key may have been in a segment that was overwritten since (I4).
+  }
+  // The key may have been in a segment that has been overwritten since (I4).
   if (request.key_millis <= this->view.FloorMillis()) {
     return Unknown(IdempotencyError::kKeyTooOld);
   }
-  if (!this->HasRoom(wall_millis))
+  if (!this->HasCapacity(wall_millis)) {
     return Unknown(IdempotencyError::kJournalFull);
+  }
   return std::nullopt;
 }
 
-void Shard::DecideKnown(std::uint64_t wall_millis) {
-  std::vector<Pending> left;
-  for (Pending& claim : this->pending) {
-    std::optional<Verdict> verdict = this->Known(claim.request, wall_millis);
+void Shard::DecideFromJournal(std::uint64_t wall_millis) {
+  std::vector<PendingClaim> remaining;
+  for (PendingClaim& claim : this->pending) {
+    std::optional<Verdict> verdict =
+        this->VerdictFromJournal(claim.request, wall_millis);
     if (!verdict.has_value()) {
-      left.push_back(std::move(claim));
+      remaining.push_back(std::move(claim));
       continue;
     }
     this->decisions.push_back(
         Decision{claim.request.claim, std::move(*verdict)});
   }
-  this->pending = std::move(left);
+  this->pending = std::move(remaining);
 }
 
-bool Shard::Waits(const ClaimRequest& request) const {
-  const ShardView::Known* known = this->view.Find(request.key);
-  return known != nullptr && known->state == KeyState::kClaimed &&
-         known->claim != request.claim;
+bool Shard::Blocked(const ClaimRequest& request) const {
+  const ShardView::KeyRecord* record = this->view.Find(request.key);
+  return record != nullptr && record->state == KeyState::kClaimed &&
+         record->claim != request.claim;
 }
 
-bool Shard::AnyWaits() const {
-  return std::any_of(
-      this->pending.begin(), this->pending.end(),
-      [this](const Pending& claim) { return this->Waits(claim.request); });
+bool Shard::AnyBlocked() const {
+  return std::any_of(this->pending.begin(), this->pending.end(),
+                     [this](const PendingClaim& claim) {
+                       return this->Blocked(claim.request);
+                     });
 }
 
 std::vector<Entry> Shard::GatherClaims() {
   std::vector<Entry> batch;
   std::set<std::string> keys;
   std::size_t bytes = 0;
-  for (Pending& claim : this->pending) {
+  for (PendingClaim& claim : this->pending) {
     const ClaimRequest& request = claim.request;
-    if (this->Waits(request) || bytes > this->settings.batch_bytes) continue;
-    // Two attempts with one key in one batch: the second waits for the first.
+    if (this->Blocked(request) || bytes > this->settings.batch_bytes) continue;
+    // Of two attempts with the same key in a batch, the second waits.
     if (!keys.insert(request.key).second) continue;
-    claim.tried = true;
+    claim.commit_sent = true;
     batch.push_back(Entry{
         request.key, request.claim, request.digest, KeyState::kClaimed, {}});
     bytes += EncodeEntry(batch.back()).size();
@@ -108,28 +114,29 @@
   return batch;
 }
 
-bool Shard::ConclusionDue(TimePoint now) const {
+bool Shard::OutcomeDue(TimePoint now) const {
   return std::any_of(
-      this->conclusions.begin(), this->conclusions.end(),
-      [now](const Conclusion& conclusion) { return conclusion.due <= now; });
+      this->outcomes.begin(), this->outcomes.end(),
+      [now](const PendingOutcome& outcome) { return outcome.due <= now; });
 }
 
-void Shard::GatherConclusions(std::vector<Entry>& batch) {
-  std::vector<Conclusion> left;
+void Shard::GatherOutcomes(std::vector<Entry>& batch) {
+  std::vector<PendingOutcome> remaining;
   std::size_t bytes = 0;
-  for (Conclusion& conclusion : this->conclusions) {
-    const ShardView::Known* known = this->view.Find(conclusion.entry.key);
-    const bool open = known != nullptr && known->state == KeyState::kClaimed &&
-                      known->claim == conclusion.entry.claim;
+  for (PendingOutcome& outcome : this->outcomes) {
+    const ShardView::KeyRecord* record = this->view.Find(outcome.entry.key);
+    const bool open = record != nullptr &&
+                      record->state == KeyState::kClaimed &&
+                      record->claim == outcome.entry.claim;
     if (!open) continue;
     if (bytes <= this->settings.batch_bytes) {
-      batch.push_back(conclusion.entry);
-      bytes += EncodeEntry(conclusion.entry).size();
+      batch.push_back(outcome.entry);
+      bytes += EncodeEntry(outcome.entry).size();
     }
-    // Dropped once the journal shows it.
-    left.push_back(std::move(conclusion));
+    // Kept until the journal contains it.
+    remaining.push_back(std::move(outcome));
   }
-  this->conclusions = std::move(left);
+  this->outcomes = std::move(remaining);
 }
 
 }  // namespace toucanwharf::once
--- a/lib/once/shard_view.cc
+++ b/lib/once/shard_view.cc
@@ -9,30 +9,30 @@
   assert(ring_slots >= 2);
 }
 
-const ShardView::Known* ShardView::Find(const std::string& key) const {
-  const auto found = this->known.find(key);
-  return found == this->known.end() ? nullptr : &found->second;
+const ShardView::KeyRecord* ShardView::Find(const std::string& key) const {
+  const auto found = this->key_records.find(key);
+  return found == this->key_records.end() ? nullptr : &found->second;
 }
 
-void ShardView::Replay(const Entry& entry) {
-  ++this->held.back().entries;
-  if (!this->tail_text.empty()) this->tail_text.push_back(',');
-  this->tail_text.append(EncodeEntry(entry));
-  const auto found = this->known.find(entry.key);
+void ShardView::ApplyEntry(const Entry& entry) {
+  ++this->segments.back().entries;
+  if (!this->tail_entries_text.empty()) this->tail_entries_text.push_back(',');
+  this->tail_entries_text.append(EncodeEntry(entry));
+  const auto found = this->key_records.find(entry.key);
   if (entry.state == KeyState::kClaimed) {
-    const bool free =
-        found == this->known.end() || found->second.state == KeyState::kNotRun;
+    const bool free = found == this->key_records.end() ||
+                      found->second.state == KeyState::kNotRun;
     if (!free) return;
-    this->known[entry.key] = Known{entry.claim,
-                                   entry.digest,
-                                   KeyState::kClaimed,
-                                   {},
-                                   this->held.back().index};
-    this->held.back().keys.push_back(entry.key);
+    this->key_records[entry.key] = KeyRecord{entry.claim,
+                                             entry.digest,
+                                             KeyState::kClaimed,
+                                             {},
+                                             this->segments.back().index};
+    this->segments.back().keys.push_back(entry.key);
     return;
   }
-  if (found == this->known.end()) return;
-  Known& claimed = found->second;
+  if (found == this->key_records.end()) return;
+  KeyRecord& claimed = found->second;
   if (claimed.claim != entry.claim) return;
   if (claimed.state != KeyState::kClaimed) return;
   claimed.state = entry.state;
@@ -40,23 +40,23 @@
 }
 
 void ShardView::EvictOldest() {
-  const Held& oldest = this->held.front();
+  const SegmentInfo& oldest = this->segments.front();
   for (const std::string& key : oldest.keys) {
-    const auto found = this->known.find(key);
-    if (found == this->known.end()) continue;
-    if (found->second.segment == oldest.index) this->known.erase(found);
+    const auto found = this->key_records.find(key);
+    if (found == this->key_records.end()) continue;
+    if (found->second.segment == oldest.index) this->key_records.erase(found);
   }
-  this->held.pop_front();
+  this->segments.pop_front();
 }
 
 void ShardView::Advance(const Segment& segment, std::uint64_t version) {
   if (this->Empty() || segment.index != this->TailIndex()) {
     assert(this->Empty() || segment.index == this->TailIndex() + 1);
-    if (this->held.size() == this->slots) this->EvictOldest();
-    this->held.push_back(Held{});
-    this->tail_text.clear();
+    if (this->segments.size() == this->slots) this->EvictOldest();
+    this->segments.push_back(SegmentInfo{});
+    this->tail_entries_text.clear();
   }
-  Held& tail = this->held.back();
+  SegmentInfo& tail = this->segments.back();
   tail.index = segment.index;
   tail.version = version;
   tail.newest_millis = segment.newest_millis;
@@ -64,16 +64,16 @@
   this->floor_millis = std::max(this->floor_millis, segment.floor_millis);
 }
 
-void ShardView::Adopt(const Segment& segment, std::uint64_t version) {
+void ShardView::ApplyCopy(const Segment& segment, std::uint64_t version) {
   this->Advance(segment, version);
-  while (this->held.back().entries < segment.entries.size()) {
-    this->Replay(segment.entries[this->held.back().entries]);
+  while (this->segments.back().entries < segment.entries.size()) {
+    this->ApplyEntry(segment.entries[this->segments.back().entries]);
   }
 }
 
-void ShardView::Extend(const Segment& segment, std::uint64_t version) {
+void ShardView::ApplyCommit(const Segment& segment, std::uint64_t version) {
   this->Advance(segment, version);
-  for (const Entry& entry : segment.entries) this->Replay(entry);
+  for (const Entry& entry : segment.entries) this->ApplyEntry(entry);
 }
 
 }  // namespace toucanwharf::once
--- a/lib/pipeline/error.cc
+++ b/lib/pipeline/error.cc
@@ -17,16 +17,16 @@
       case Error::kUnknownRequest:
         return "no answer is kept under this request id for this customer; "
                "check the id and key, or send the request again";
-      case Error::kNotReached:
+      case Error::kIndexNotReached:
         return "the answer has not reached the token asked for; resume from "
                "the first token that was not received";
       case Error::kDeadlinePassed:
         return "the answer was not finished before its deadline; allow more "
                "time or ask for fewer tokens";
-      case Error::kAttemptsSpent:
+      case Error::kOutOfAttempts:
         return "every allowed attempt at the answer failed; read the time line "
                "for the endpoints that failed, then send the request again";
-      case Error::kCallerLeft:
+      case Error::kCallerDisconnected:
         return "the caller closed its connection; resume the answer by its "
                "request id";
     }
--- a/lib/pipeline/planner.cc
+++ b/lib/pipeline/planner.cc
@@ -12,21 +12,21 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 
-// Prompt tokens run side by side in one pass over the weights; how many cost
-// as much as one decoded token. It only has to be near: it weighs prompts
-// against waits, and deadlines keep a factor above it.
+// Number of prompt tokens that cost as much as one decoded token; prompt tokens
+// are processed in parallel in one pass over the weights. An estimate suffices:
+// it weighs prompts against waits, and deadlines apply a factor on top.
 constexpr std::int64_t kPromptTokensPerDecode = 8;
 
 constexpr Duration kUnreached = Duration::max();
 
-/// Cheapest way to cover the layers up to one boundary with the last stage in
-/// one failure domain.
-struct Step {
+/// Cheapest cover of the layers up to one boundary whose last stage is in one
+/// failure domain.
+struct PartialCover {
   Duration cost = kUnreached;
   /// Index of the last stage's candidate.
   std::size_t candidate = 0;
-  /// Failure domain of the stage before it.
-  std::size_t domain_before = 0;
+  /// Index of the failure domain of the stage before it.
+  std::size_t previous_domain = 0;
 };
 
 std::vector<PinnedModel> PinnedModels(const EndpointView& view) {
@@ -37,7 +37,7 @@
   return models;
 }
 
-Duration Compute(const EndpointView& view) {
+Duration ComputePerToken(const EndpointView& view) {
   return view.layer_time * view.layers.Count();
 }
 
@@ -50,23 +50,23 @@
 
 void PlanIndex::Update(const EndpointView& view) {
   Endpoint& endpoint = this->endpoints[view.id];
-  this->Leave(endpoint);
+  this->RemoveFromGroups(endpoint);
   const auto penalty = this->links.endpoint_penalty.find(view.id);
   const bool penalised = penalty != this->links.endpoint_penalty.end();
   endpoint.view = view;
   endpoint.penalty = penalised ? penalty->second : Duration(0);
   endpoint.domain = this->DomainIndex(view.failure_domain);
-  // I5: an endpoint that is leaving would still be reported by the lagging
-  // instance list and get new work; it enters no group, so no plan can name it.
+  // I5: the lagging instance list still reports an endpoint that is leaving, so
+  // it could receive new work; keep it out of all groups, and so of all plans.
   if (view.state == EndpointState::kLive && view.layers.Count() > 0) {
-    this->Enter(endpoint);
+    this->AddToGroups(endpoint);
   }
 }
 
 void PlanIndex::Remove(const std::string& id) {
   const auto found = this->endpoints.find(id);
   if (found == this->endpoints.end()) return;
-  this->Leave(found->second);
+  this->RemoveFromGroups(found->second);
   this->endpoints.erase(found);
 }
 
@@ -107,104 +107,108 @@
   }
 }
 
-void PlanIndex::Enter(const Endpoint& endpoint) {
+void PlanIndex::AddToGroups(const Endpoint& endpoint) {
   const double micros =
       std::max(1.0, static_cast<double>(endpoint.view.layer_time.count()));
   for (const PinnedModel& model : PinnedModels(endpoint.view)) {
-    Group& group = this->shards[model][{endpoint.view.layers, endpoint.domain}];
+    Group& group =
+        this->by_model[model][{endpoint.view.layers, endpoint.domain}];
     const double sum = group.speed_sums.empty() ? 0 : group.speed_sums.back();
     group.members.push_back(&endpoint);
     group.speed_sums.push_back(sum + kMicrosPerSecond / micros);
   }
 }
 
-void PlanIndex::Leave(const Endpoint& endpoint) {
+void PlanIndex::RemoveFromGroups(const Endpoint& endpoint) {
   for (const PinnedModel& model : PinnedModels(endpoint.view)) {
-    const auto shard = this->shards.find(model);
-    if (shard == this->shards.end()) continue;
+    const auto groups = this->by_model.find(model);
+    if (groups == this->by_model.end()) continue;
     const auto found =
-        shard->second.find({endpoint.view.layers, endpoint.domain});
-    if (found == shard->second.end()) continue;
+        groups->second.find({endpoint.view.layers, endpoint.domain});
+    if (found == groups->second.end()) continue;
     Group& group = found->second;
     const auto member =
         std::find(group.members.begin(), group.members.end(), &endpoint);
     if (member == group.members.end()) continue;
-    const auto at = member - group.members.begin();
-    const double before = at == 0 ? 0 : group.speed_sums[at - 1];
-    const double speed = group.speed_sums[at] - before;
+    const auto index = member - group.members.begin();
+    const double previous_sum = index == 0 ? 0 : group.speed_sums[index - 1];
+    const double speed = group.speed_sums[index] - previous_sum;
     group.members.erase(member);
-    group.speed_sums.erase(group.speed_sums.begin() + at);
-    for (auto sum = group.speed_sums.begin() + at;
+    group.speed_sums.erase(group.speed_sums.begin() + index);
+    for (auto sum = group.speed_sums.begin() + index;
          sum != group.speed_sums.end(); ++sum) {
       *sum -= speed;
     }
-    if (group.members.empty()) shard->second.erase(found);
-    if (shard->second.empty()) this->shards.erase(shard);
+    if (group.members.empty()) groups->second.erase(found);
+    if (groups->second.empty()) this->by_model.erase(groups);
   }
 }
 
-const PlanIndex::Endpoint* PlanIndex::Group::Draw(Random& random) const {
+const PlanIndex::Endpoint* PlanIndex::Group::DrawBySpeed(Random& random) const {
   const double point = random.Unit() * this->speed_sums.back();
   const auto found =
       std::upper_bound(this->speed_sums.begin(), this->speed_sums.end(), point);
-  const auto at = std::min<std::ptrdiff_t>(
+  const auto index = std::min<std::ptrdiff_t>(
       found - this->speed_sums.begin(),
       static_cast<std::ptrdiff_t>(this->members.size()) - 1);
-  return this->members[at];
+  return this->members[index];
 }
 
 Duration PlanIndex::Cost(const Candidate& candidate, const PlanQuery& query) {
-  const Duration compute = Compute(candidate.endpoint->view);
+  const Duration compute = ComputePerToken(candidate.endpoint->view);
   const Duration prompt =
       compute * query.prompt_tokens / kPromptTokensPerDecode;
   const Duration penalty = 2 * candidate.endpoint->penalty;
   return candidate.wait + prompt + (compute + penalty) * query.output_tokens;
 }
 
-Duration PlanIndex::Hop(std::size_t left, const Candidate& right) const {
+Duration PlanIndex::LinkDelay(std::size_t left, const Candidate& right) const {
   return this->delays[left][right.endpoint->domain];
 }
 
-// Dynamic programming over layer boundaries. The candidates come ordered by
-// the first layer, and each leads to a later boundary, so one pass settles
-// every boundary before it is left. Work grows with groups times failure
-// domains, not with the number of endpoints.
+// Dynamic programming over layer boundaries. The candidates are ordered by
+// first layer, and each ends at a later boundary, so in one pass the cost of a
+// boundary is final before it is extended. The work grows with the number of
+// groups times failure domains, not with the number of endpoints.
 Result<Plan> PlanIndex::ShortestCover(
     const PlanQuery& query, const std::vector<Candidate>& candidates) const {
   assert(query.layers > 0 && "a model has at least one layer");
-  const std::size_t width = this->domains.size();
-  std::vector<Step> steps((query.layers + 1) * width);
-  steps[0].cost = Duration(0);  // No layer run yet, at the router.
-  for (std::size_t at = 0; at < candidates.size(); ++at) {
-    const Candidate& candidate = candidates[at];
+  const std::size_t domain_count = this->domains.size();
+  std::vector<PartialCover> covers((query.layers + 1) * domain_count);
+  covers[0].cost = Duration(0);  // No layers covered; starts at the router.
+  for (std::size_t index = 0; index < candidates.size(); ++index) {
+    const Candidate& candidate = candidates[index];
     const LayerRange layers = candidate.endpoint->view.layers;
     if (layers.end > query.layers) continue;
     const Duration cost = Cost(candidate, query);
     const int crossings = layers.begin == 0 ? 1 : 2;
-    Step& to = steps[layers.end * width + candidate.endpoint->domain];
-    for (std::size_t from = 0; from < width; ++from) {
-      const Step& before = steps[layers.begin * width + from];
+    PartialCover& to =
+        covers[layers.end * domain_count + candidate.endpoint->domain];
+    for (std::size_t from = 0; from < domain_count; ++from) {
+      const PartialCover& before = covers[layers.begin * domain_count + from];
       if (before.cost == kUnreached) continue;
       const Duration link =
-          this->Hop(from, candidate) * crossings * query.output_tokens;
+          this->LinkDelay(from, candidate) * crossings * query.output_tokens;
       const Duration total = before.cost + cost + link;
-      if (total < to.cost) to = Step{total, at, from};
+      if (total < to.cost) to = PartialCover{total, index, from};
     }
   }
-  const auto last_row = steps.end() - static_cast<std::ptrdiff_t>(width);
-  const auto best = std::min_element(last_row, steps.end(),
-                                     [](const Step& left, const Step& right) {
-                                       return left.cost < right.cost;
-                                     });
+  const auto last_row =
+      covers.end() - static_cast<std::ptrdiff_t>(domain_count);
+  const auto best =
+      std::min_element(last_row, covers.end(),
+                       [](const PartialCover& left, const PartialCover& right) {
+                         return left.cost < right.cost;
+                       });
   if (best->cost == kUnreached) return Error::kNoCover;
   std::vector<Candidate> stages;
-  const Step* step = &*best;
+  const PartialCover* cover = &*best;
   while (true) {
-    const Candidate& candidate = candidates[step->candidate];
+    const Candidate& candidate = candidates[cover->candidate];
     stages.push_back(candidate);
     const std::uint32_t begin = candidate.endpoint->view.layers.begin;
     if (begin == 0) break;
-    step = &steps[begin * width + step->domain_before];
+    cover = &covers[begin * domain_count + cover->previous_domain];
   }
   std::reverse(stages.begin(), stages.end());
   return this->MakePlan(query, stages);
@@ -219,9 +223,10 @@
     const EndpointView& view = candidate.endpoint->view;
     plan.stages.push_back({view.id, view.address, view.layers});
     plan.times.wait += candidate.wait;
-    plan.times.token_gap += Compute(view) + 2 * candidate.endpoint->penalty +
-                            this->Hop(domain, candidate) * crossings;
-    plan.times.prompt_token += Compute(view) / kPromptTokensPerDecode;
+    plan.times.token_gap += ComputePerToken(view) +
+                            2 * candidate.endpoint->penalty +
+                            this->LinkDelay(domain, candidate) * crossings;
+    plan.times.prompt_token += ComputePerToken(view) / kPromptTokensPerDecode;
     domain = candidate.endpoint->domain;
     crossings = 2;
   }
@@ -231,9 +236,9 @@
 std::vector<LayerRange> PlanIndex::MissingLayers(const PlanQuery& query) const {
   std::vector<LayerRange> missing;
   std::uint32_t next = 0;
-  const auto shard = this->shards.find(query.model);
-  if (shard == this->shards.end()) return {LayerRange{0, query.layers}};
-  for (const auto& [key, group] : shard->second) {
+  const auto groups = this->by_model.find(query.model);
+  if (groups == this->by_model.end()) return {LayerRange{0, query.layers}};
+  for (const auto& [key, group] : groups->second) {
     const auto usable = [&query](const Endpoint* endpoint) {
       return !query.excluded.contains(endpoint->view.id);
     };
--- a/lib/records/parse.cc
+++ b/lib/records/parse.cc
@@ -20,7 +20,7 @@
 constexpr const char* kKinds[] = {"model",    "version",  "adapter",
                                   "pipeline", "customer", "service"};
 
-/// All schemas, parsed once for the process.
+/// All embedded schemas, parsed once per process.
 class SchemaSet {
  public:
   SchemaSet() {
@@ -39,7 +39,7 @@
   void Add(const std::string& path) {
     json parsed = json::parse(EmbeddedSchema(path), nullptr, false);
     assert(parsed.is_object() && !parsed.empty() &&
-           "every schema file is embedded by CMake");
+           "CMake embeds every schema file");
     this->schemas.emplace(path, std::move(parsed));
   }
 
@@ -123,7 +123,8 @@
   if (kind == "adapter") return ReadAdapter(name, spec);
   if (kind == "pipeline") return ReadPipeline(name, spec, version);
   if (kind == "customer") return ReadCustomer(name, spec, version);
-  assert(kind == "service" && "the envelope's schema lists the kinds");
+  assert(kind == "service" &&
+         "the envelope schema allows only the listed kinds");
   return ReadService(name, spec, version);
 }
 
@@ -148,11 +149,11 @@
       schema::CheckDocument(Schemas().Get("records/envelope.json"), document);
   if (!problems.empty()) return problems;
   const std::string kind = document.at("kind");
-  const bool first = document.at("schema") == NameOf(SchemaVersion::kV1);
-  const auto version = first ? SchemaVersion::kV1 : SchemaVersion::kV2;
-  const std::string folder = first ? "records/v1/" : "records/v2/";
-  problems =
-      schema::CheckDocument(Schemas().Get(folder + kind + ".json"), document);
+  const bool is_v1 = document.at("schema") == NameOf(SchemaVersion::kV1);
+  const auto version = is_v1 ? SchemaVersion::kV1 : SchemaVersion::kV2;
+  const std::string directory = is_v1 ? "records/v1/" : "records/v2/";
+  problems = schema::CheckDocument(Schemas().Get(directory + kind + ".json"),
+                                   document);
   if (!problems.empty()) return problems;
   return Document{version, ReadRecord(kind, document.at("name"),
                                       document.at("spec"), version)};
--- a/lib/records/to_json.cc
+++ b/lib/records/to_json.cc
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-/// Builds the spec of each kind in the shape of one schema version.
+/// Returns the spec of a record of any kind in one schema version.
 class SpecWriter {
  public:
   explicit SpecWriter(SchemaVersion version) : schema(version) {}
--- a/lib/timeline/buffer.cc
+++ b/lib/timeline/buffer.cc
@@ -8,7 +8,7 @@
 
 Buffer::Buffer(std::string name, std::size_t size)
     : instance(std::move(name)), capacity(size) {
-  assert(size > 0 && "a buffer keeps at least one event");
+  assert(size > 0 && "a buffer holds at least one event");
 }
 
 void Buffer::Add(std::uint64_t wall_millis, EventDetails details) {
@@ -35,8 +35,8 @@
                        [](std::uint64_t bound, const Event& event) {
                          return bound < event.sequence;
                        });
-  const auto left = static_cast<std::size_t>(this->events.end() - first);
-  const auto count = static_cast<std::ptrdiff_t>(std::min(left, limit));
+  const auto available = static_cast<std::size_t>(this->events.end() - first);
+  const auto count = static_cast<std::ptrdiff_t>(std::min(available, limit));
   return Page{this->instance, this->dropped,
               std::vector<Event>(first, first + count)};
 }
--- a/lib/timeline/codec.cc
+++ b/lib/timeline/codec.cc
@@ -15,8 +15,8 @@
  public:
   const char* name() const noexcept override { return "timeline"; }
   std::string message(int /*code*/) const override {
-    return "the answer is no time line page; check that the address is the "
-           "admin address of a router of this version";
+    return "the response is not a time line page; check that the address is "
+           "the admin address of a router of this version";
   }
 };
 
@@ -75,10 +75,10 @@
 
 Result<Page> ParsePage(std::string_view text) {
   const json value = json::parse(text, nullptr, false);
-  if (!value.is_object()) return TimelineError::kNotAPage;
+  if (!value.is_object()) return TimelineError::kMalformedPage;
   const auto events = value.find("events");
   const bool has_events = events != value.end() && events->is_array();
-  if (!has_events) return TimelineError::kNotAPage;
+  if (!has_events) return TimelineError::kMalformedPage;
   Page page{TextMember(value, "instance"), NumberMember(value, "dropped"), {}};
   for (const json& item : *events) {
     auto event = ReadEvent(item);
--- a/lib/timeline/event.cc
+++ b/lib/timeline/event.cc
@@ -6,7 +6,7 @@
 namespace toucanwharf::timeline {
 namespace {
 
-// In the order of EventKind.
+// Indexed by EventKind.
 constexpr std::array<std::string_view, 33> kNames = {"started",
                                                      "drain_began",
                                                      "stopped",
@@ -50,8 +50,8 @@
 }
 
 std::optional<EventKind> KindOf(std::string_view name) {
-  for (std::size_t at = 0; at < kNames.size(); ++at) {
-    if (kNames[at] == name) return static_cast<EventKind>(at);
+  for (std::size_t index = 0; index < kNames.size(); ++index) {
+    if (kNames[index] == name) return static_cast<EventKind>(index);
   }
   return std::nullopt;
 }
--- a/lib/timeline/hybrid_clock.cc
+++ b/lib/timeline/hybrid_clock.cc
@@ -31,7 +31,7 @@
 }
 
 void HybridClock::Observe(Stamp remote, std::uint64_t wall_millis) {
-  if (remote.millis > wall_millis + kMaxAheadMillis) return;
+  if (remote.millis > wall_millis + kMaxRemoteLeadMillis) return;
   this->last = std::max(this->last, remote);
 }
 
--- a/lib/timeline/render.cc
+++ b/lib/timeline/render.cc
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t kMillisPerSecond = 1000;
 constexpr std::uint64_t kMicrosPerMilli = 1000;
-constexpr int kTraceProcess = 1;
+constexpr int kTraceProcessId = 1;
 
 std::string TimeText(std::uint64_t millis) {
   const auto seconds = static_cast<std::time_t>(millis / kMillisPerSecond);
@@ -57,16 +57,16 @@
     const std::string& request = merged.event.details.request;
     if (request.empty()) continue;
     const Stamp stamp = merged.event.stamp;
-    const auto [span, fresh] =
+    const auto [span, inserted] =
         spans.try_emplace({merged.instance, request}, Span{stamp, stamp});
-    if (!fresh) span->second.end = std::max(span->second.end, stamp);
+    if (!inserted) span->second.end = std::max(span->second.end, stamp);
   }
   return spans;
 }
 
-json Dump(const Page& page) { return json::parse(ToJson(page)); }
+json PageJson(const Page& page) { return json::parse(ToJson(page)); }
 
-/// Rows of the viewer: one for each instance, numbered by name.
+/// Returns the viewer's row of each instance, numbered from 1 by name.
 std::map<std::string, int> RowsOf(const std::vector<MergedEvent>& events) {
   std::map<std::string, int> rows;
   for (const MergedEvent& merged : events) rows[merged.instance] = 0;
@@ -75,32 +75,34 @@
   return rows;
 }
 
-json RowName(const std::string& instance, int row) {
+json ThreadNameEvent(const std::string& instance, int row) {
   return {{"name", "thread_name"},
           {"ph", "M"},
-          {"pid", kTraceProcess},
+          {"pid", kTraceProcessId},
           {"tid", row},
           {"args", {{"name", instance}}}};
 }
 
-json Mark(const MergedEvent& merged, int row) {
-  const json page = Dump(Page{merged.instance, 0, {merged.event}});
+json InstantEvent(const MergedEvent& merged, int row) {
+  const json page = PageJson(Page{merged.instance, 0, {merged.event}});
   return {{"name", NameOf(merged.event.details.kind)},
           {"ph", "i"},
           {"s", "t"},
-          {"pid", kTraceProcess},
+          {"pid", kTraceProcessId},
           {"tid", row},
           {"ts", merged.event.stamp.millis * kMicrosPerMilli},
           {"args", page["events"][0]}};
 }
 
-/// Asynchronous bars, since requests of one instance overlap.
-json BarEnd(const char* phase, const std::string& request, Stamp at, int row) {
+/// Returns the begin or end of a request's bar. The bars are asynchronous
+/// events, because requests on one instance overlap.
+json AsyncEvent(const char* phase, const std::string& request, Stamp at,
+                int row) {
   return {{"name", "request"},
           {"cat", "request"},
           {"id", request},
           {"ph", phase},
-          {"pid", kTraceProcess},
+          {"pid", kTraceProcessId},
           {"tid", row},
           {"ts", at.millis * kMicrosPerMilli}};
 }
@@ -116,7 +118,7 @@
 std::string ToJson(const std::vector<MergedEvent>& events) {
   json list = json::array();
   for (const MergedEvent& merged : events) {
-    json page = Dump(Page{merged.instance, 0, {merged.event}});
+    json page = PageJson(Page{merged.instance, 0, {merged.event}});
     json event = std::move(page["events"][0]);
     event["instance"] = page["instance"];
     list.push_back(std::move(event));
@@ -128,16 +130,16 @@
   json trace = json::array();
   const auto rows = RowsOf(events);
   for (const auto& [instance, row] : rows) {
-    trace.push_back(RowName(instance, row));
+    trace.push_back(ThreadNameEvent(instance, row));
   }
   for (const MergedEvent& merged : events) {
-    trace.push_back(Mark(merged, rows.at(merged.instance)));
+    trace.push_back(InstantEvent(merged, rows.at(merged.instance)));
   }
   for (const auto& [key, span] : RequestSpans(events)) {
     const auto& [instance, request] = key;
     const int row = rows.at(instance);
-    trace.push_back(BarEnd("b", request, span.begin, row));
-    trace.push_back(BarEnd("e", request, span.end, row));
+    trace.push_back(AsyncEvent("b", request, span.begin, row));
+    trace.push_back(AsyncEvent("e", request, span.end, row));
   }
   return json{{"traceEvents", std::move(trace)}, {"displayTimeUnit", "ms"}}
       .dump(-1, ' ', false, json::error_handler_t::replace);
--- a/unittests/once/shard_test.cc
+++ b/unittests/once/shard_test.cc
@@ -23,22 +23,22 @@
 ShardSettings SmallRing() {
   ShardSettings settings;
   settings.slots = 3;
-  settings.seal_bytes = 250;
-  settings.least_retention_millis = 40;
+  settings.seal_threshold_bytes = 250;
+  settings.min_retention_millis = 40;
   return settings;
 }
 
-/// One router's process, or the one that replaced it.
+/// One router process, or its replacement.
 struct Router {
   Shard shard;
   std::optional<ShardCall> call;
-  /// Granted claims that haven't been sent yet.
+  /// Granted claims whose requests haven't been sent yet.
   std::vector<std::string> granted;
 };
 
-/// Several routers before one service, over one faulty store. Keys are made
-/// anew every few steps, so that old segments are overwritten while repeats of
-/// their keys still come.
+/// Several routers in front of one service, with one faulty store. New keys are
+/// created every few steps, so that old segments are overwritten while repeats
+/// of their keys still arrive.
 class World {
  public:
   explicit World(int routers) {
@@ -51,7 +51,7 @@
     return this->routers.size() - 1;
   }
 
-  /// The process dies; a call of its own may still land.
+  /// The process crashes; its outstanding call may still take effect.
   void Replace(std::size_t index) {
     const std::string writer = "w" + std::to_string(++this->started);
     Router& router = this->routers[index];
@@ -85,19 +85,19 @@
     }
   }
 
-  /// The router sends what it was granted; \p how says how that ends.
-  void Send(std::size_t index, KeyState how) {
+  /// The router sends its last granted request; \p result is how that ends.
+  void Send(std::size_t index, KeyState result) {
     Router& router = this->routers[index];
     if (router.granted.empty()) return;
     const std::string claim = router.granted.back();
     router.granted.pop_back();
     const std::string& key = this->key_of[claim];
-    if (how != KeyState::kNotRun) ++this->runs[key];
+    if (result != KeyState::kNotRun) ++this->runs[key];
     RC_ASSERT(this->runs[key] <= 1);
-    // kClaimed stands for a death between the send and the record.
-    if (how == KeyState::kClaimed) return;
+    // kClaimed stands for a crash after sending and before recording.
+    if (result == KeyState::kClaimed) return;
     router.shard.RecordOutcome(
-        Entry{key, claim, "", how, Outcome{200, "text/plain", claim, true}},
+        Entry{key, claim, "", result, Outcome{200, "text/plain", claim, true}},
         this->now);
   }
 
@@ -132,20 +132,20 @@
   }
 };
 
-/// Plays one random step: what happens, to which router, with which fault.
+/// Runs one random step: an action, the router that it applies to, and a fault.
 void PlayStep(World& world, std::uint32_t step) {
   const std::size_t index = step % 3;
-  const std::uint32_t what = step / 3 % 16;
+  const std::uint32_t action = step / 3 % 16;
   const std::uint32_t detail = step / 48;
-  if (what == 0) {
+  if (action == 0) {
     world.wall += detail % 30;
     world.map.Land();
-  } else if (what == 1 && detail % 4 == 0) {
+  } else if (action == 1 && detail % 4 == 0) {
     world.Replace(index);
-  } else if (what <= 3) {
+  } else if (action <= 3) {
     const std::uint64_t age = detail % 3 == 0 ? 60 : 0;
     world.Claim(index, (world.wall - age) / 10 * 10 + detail % kKeys);
-  } else if (what <= 5) {
+  } else if (action <= 5) {
     world.Send(index, static_cast<KeyState>(detail % 4));
   } else {
     world.now = world.now + kMilli * (detail % 40);
@@ -156,10 +156,10 @@
   }
 }
 
-// A pharmacist's client repeats one signature through several routers, while
-// these are killed, replaced and paused at any step, answers of the store are
-// lost, its reads are stale, writes land late, and old keys make room for new
-// ones. Whatever the order, the lot is signed once at most.
+// A client repeats one call through several routers, while these are killed,
+// replaced and paused at any step, store answers are lost, reads are stale,
+// writes take effect late, and old keys are overwritten by new ones. In every
+// order of these events, the call must run at most once.
 RC_BOOST_PROP(NoKeyRunsTwiceInAnySchedule, ()) {
   World world(3);
   const auto steps =
@@ -182,8 +182,8 @@
   return found->second;
 }
 
-// A crew's client lost the connection after the job was logged and repeats the
-// call through another router. It gets the first answer and nothing runs.
+// A client loses its connection after the call ran and repeats it through
+// another router. It must get the first answer, and nothing may run again.
 BOOST_AUTO_TEST_CASE(RepeatThroughAnotherRouterGetsTheFirstAnswer) {
   World world(2);
   const std::string first = world.Claim(0, 1000);
@@ -198,9 +198,9 @@
   BOOST_TEST(std::get<Outcome>(verdict).body == first);
 }
 
-// The repeat comes while the first attempt still runs elsewhere: it waits, and
-// gets the first attempt's answer as soon as that is recorded.
-BOOST_AUTO_TEST_CASE(RepeatWaitsForTheAttemptUnderWay) {
+// A repeat arrives while the first attempt still runs on another router. It
+// must wait, and get the first attempt's answer once that is recorded.
+BOOST_AUTO_TEST_CASE(RepeatWaitsForTheAttemptInProgress) {
   World world(2);
   world.Claim(0, 1000);
   world.Settle();
@@ -212,9 +212,9 @@
   BOOST_TEST(std::holds_alternative<Outcome>(VerdictOf(world, again)));
 }
 
-// The endpoint refused before it ran anything, and the claimant recorded that.
-// The repeat may run.
-BOOST_AUTO_TEST_CASE(KeyThatSurelyDidNotRunMayBeClaimedAgain) {
+// The endpoint refused the request before running it, and the claimant recorded
+// that. A repeat must be allowed to run.
+BOOST_AUTO_TEST_CASE(KeyRecordedAsNotRunMayBeClaimedAgain) {
   World world(2);
   world.Claim(0, 1000);
   world.Settle();
@@ -225,10 +225,10 @@
   BOOST_TEST(std::holds_alternative<Granted>(VerdictOf(world, again)));
 }
 
-// The store takes the claim, its answer is lost and the store goes down until
-// the caller's deadline. The caller hears "unknown"; when the store is back
-// the router records that nothing ran, and the repeat runs.
-BOOST_AUTO_TEST_CASE(OutageAfterTheClaimEndsTruthfullyAndHeals) {
+// The store accepts the claim, its answer is lost, and the store is unavailable
+// until the caller's deadline. The outcome must be reported as unknown; after
+// the outage the router records that nothing ran, so a repeat may run.
+BOOST_AUTO_TEST_CASE(OutageAfterTheClaimReportsUnknownThenFreesTheKey) {
   World world(2);
   const std::string warm = world.Claim(0, 1000);
   world.Settle();
@@ -248,8 +248,8 @@
   BOOST_TEST(std::holds_alternative<Granted>(VerdictOf(world, again)));
 }
 
-// A key is so old that its segment was overwritten. Whether it ran can't be
-// known any more, so it is refused rather than run.
+// A key is so old that its segment was overwritten, so whether its request ran
+// is unknown. It must be refused.
 BOOST_AUTO_TEST_CASE(KeyOlderThanTheJournalIsRefused) {
   World world(1);
   world.Claim(0, 1000);
@@ -268,9 +268,9 @@
       (std::get<Refused>(verdict).reason == IdempotencyError::kKeyTooOld));
 }
 
-// A replaced router reads the journal from a lagging replica: the copy of a
-// full segment lacks its last claim. Taking it as it is would grant that
-// claim's key a second time.
+// A replacement router reads the journal from a lagging replica, whose copy of
+// a sealed segment lacks the last claim. Using that copy would grant the key of
+// that claim a second time.
 BOOST_AUTO_TEST_CASE(StaleCopyOfASealedSegmentGrantsNothing) {
   World world(1);
   for (std::uint64_t key = 1000; key < 1008; ++key) {
@@ -287,16 +287,16 @@
   }
 }
 
-// A service answers with bytes that the journal can't carry, or with too many.
-// A repeat is told so; it never gets a changed or shortened body.
-BOOST_AUTO_TEST_CASE(BodyThatCannotBeKeptIsLeftOut) {
-  BOOST_TEST(CanKeep("{\"signed\": true}"));
-  BOOST_TEST(!CanKeep("\xff\xfe"));
-  BOOST_TEST(!CanKeep(std::string(kMaxKeptBody + 1, 'x')));
+// A service answers with a body that is too long or that JSON can't represent.
+// A repeat must never get a changed or truncated body.
+BOOST_AUTO_TEST_CASE(BodyThatCannotBeRetainedIsOmitted) {
+  BOOST_TEST(CanRetainBody("{\"signed\": true}"));
+  BOOST_TEST(!CanRetainBody("\xff\xfe"));
+  BOOST_TEST(!CanRetainBody(std::string(kMaxRetainedBodyBytes + 1, 'x')));
 }
 
-// Many calls arrive together: they share commits, or the platform's few
-// hundred writes a second would bound them.
+// Many calls arrive together. They must share commits; otherwise the platform's
+// few hundred writes per second would limit the call rate.
 BOOST_AUTO_TEST_CASE(ClaimsShareCommits) {
   World world(1);
   for (std::uint64_t key = 1000; key < 1100; ++key) world.Claim(0, key);
--- a/unittests/pipeline/answer_log_test.cc
+++ b/unittests/pipeline/answer_log_test.cc
@@ -10,8 +10,8 @@
 namespace toucanwharf::pipeline {
 namespace {
 
-// A caller's connection breaks after two tokens. It comes back with the id and
-// reads on from the third; nothing is said twice.
+// A caller's connection breaks after two tokens. It resumes by request id from
+// the third; no token may be repeated.
 BOOST_AUTO_TEST_CASE(ResumeReadsFromTheNextToken) {
   AnswerLog log;
   log.Open("r", "atlas");
@@ -23,11 +23,11 @@
   BOOST_TEST(!slice.end.has_value());
   log.Close("r", Finish{4}, {});
   BOOST_TEST(log.Read("r", "atlas", 4).value().end.has_value());
-  BOOST_TEST((log.Read("r", "atlas", 5).error() == Error::kNotReached));
+  BOOST_TEST((log.Read("r", "atlas", 5).error() == Error::kIndexNotReached));
 }
 
-// A customer who learns another's request id from a log line asks for it. The
-// answer must look the same as for an id that never was (I2).
+// A customer learns another's request id from a log line and reads its answer.
+// The error must be the same as for an unknown id (I2).
 BOOST_AUTO_TEST_CASE(OtherCustomersReadNothing) {
   AnswerLog log;
   log.Open("r", "atlas");
@@ -50,10 +50,11 @@
   BOOST_TEST(log.Bytes() == 0u);
 }
 
-// Many long answers at once must not grow the router until it is killed.
+// Many concurrent long answers must not grow the router's memory until the
+// process is killed.
 RC_BOOST_PROP(MemoryIsBounded, (const std::vector<std::uint8_t>& script)) {
   AnswerLogLimits limits;
-  limits.bytes = 2000;
+  limits.max_bytes = 2000;
   AnswerLog log(limits);
   std::vector<std::uint32_t> lengths;
   for (const std::uint8_t step : script) {
@@ -62,11 +63,11 @@
       lengths.push_back(0);
       continue;
     }
-    const std::size_t which = step % lengths.size();
-    const std::string id = std::to_string(which);
-    if (step % 4 == 1) log.Close(id, Finish{lengths[which]}, {});
-    if (log.Contains(id)) log.Append(id, {lengths[which]++, "twelve bytes"});
-    RC_ASSERT(log.Bytes() <= limits.bytes);
+    const std::size_t number = step % lengths.size();
+    const std::string id = std::to_string(number);
+    if (step % 4 == 1) log.Close(id, Finish{lengths[number]}, {});
+    if (log.Contains(id)) log.Append(id, {lengths[number]++, "twelve bytes"});
+    RC_ASSERT(log.Bytes() <= limits.max_bytes);
   }
 }
 
--- a/unittests/pipeline/answer_state_machine_test.cc
+++ b/unittests/pipeline/answer_state_machine_test.cc
@@ -55,7 +55,8 @@
   return found;
 }
 
-/// A machine whose first attempt runs on the plan a, b and gave two tokens.
+/// A state machine whose first attempt runs on stages a and b and has produced
+/// two tokens.
 struct Running {
   Running() {
     this->machine.Start(this->clock.Now());
@@ -77,11 +78,11 @@
   AnswerStateMachine machine{SomeRequest()};
 };
 
-constexpr Duration kLongSilence = std::chrono::seconds(1);
+constexpr Duration kLongStall = std::chrono::seconds(1);
 
-// A release note streams when the instance of its second stage is killed. The
-// first stage reports the loss. The pharmacist's answer goes on with the next
-// token, from another endpoint, with what was already said.
+// The instance of the second stage is killed while an answer streams, and the
+// first stage reports the loss. The answer must resume at the next token with
+// another endpoint, given the tokens so far.
 BOOST_AUTO_TEST_CASE(LostStageIsReplacedFromTheLastToken) {
   Running run;
   const Actions lost =
@@ -94,21 +95,21 @@
   BOOST_TEST(start.attempt == 1u);
   BOOST_TEST(start.first_index == 2u);
   BOOST_TEST((start.tokens == std::vector<std::string>{"t0", "t1"}));
-  BOOST_TEST(start.imports.empty());  // The only copy died with the stage.
+  BOOST_TEST(start.imports.empty());  // The lost stage had the only copy.
   BOOST_TEST(Of<EmitToken>(run.Send(GoodToken(1, 2))).size() == 1u);
 }
 
-// Something between router and engine forgets an open connection; the engine
-// is fine. Tokens stop without an error. A fresh connection to the same engine
-// brings the next token, and only connections are suspected.
-BOOST_AUTO_TEST_CASE(SilentConnectionIsNotADeadEndpoint) {
+// A device between router and engine drops the state of an open connection, so
+// tokens stop without an error while the engine works. A new connection to the
+// same engine delivers the next token; only connections may be suspected.
+BOOST_AUTO_TEST_CASE(StalledConnectionDoesNotSuspectTheEndpoint) {
   Running run;
-  const Actions silent = run.After(kLongSilence);
-  const auto start = Of<StartAttempt>(silent).at(0);
+  const Actions stalled = run.After(kLongStall);
+  const auto start = Of<StartAttempt>(stalled).at(0);
   BOOST_TEST(start.fresh_connection);
   BOOST_TEST((start.plan == SomePlan("a", "b")));
-  BOOST_TEST(Of<ProbeStages>(silent).size() == 1u);
-  BOOST_TEST(Of<SuspectEndpoint>(silent).empty());
+  BOOST_TEST(Of<ProbeStages>(stalled).size() == 1u);
+  BOOST_TEST(Of<SuspectEndpoint>(stalled).empty());
   const Actions next = run.Send(GoodToken(1, 2));
   BOOST_TEST((Of<SuspectConnection>(next) ==
               std::vector<SuspectConnection>{SuspectConnection{"a"}}));
@@ -116,25 +117,25 @@
   BOOST_TEST(Of<RecordRecovery>(next).size() == 1u);
 }
 
-// The second stage's process is frozen: connections stay open, nothing comes.
-// The fresh connection to the first stage is silent too. The probe names the
-// frozen endpoint, and the answer moves before the fresh attempt times out.
-BOOST_AUTO_TEST_CASE(FrozenStageIsNamedByItsProbe) {
+// The second stage's process is frozen: connections stay open, but no data
+// arrives, also on the new connection to the first stage. The probe identifies
+// the frozen endpoint, and the answer moves before the new attempt times out.
+BOOST_AUTO_TEST_CASE(FailedProbeIdentifiesTheFrozenStage) {
   Running run;
-  run.After(kLongSilence);
+  run.After(kLongStall);
   BOOST_TEST(run.Send(ProbeCompleted{1, "a", true}).empty());
-  const Actions dead = run.Send(ProbeCompleted{1, "b", false});
-  BOOST_TEST(Of<SuspectEndpoint>(dead).size() == 1u);
-  BOOST_TEST(Of<RequestPlan>(dead).at(0).excluded.contains("b"));
-  BOOST_TEST(Of<RequestPlan>(dead).at(0).attempt == 2u);
+  const Actions failed = run.Send(ProbeCompleted{1, "b", false});
+  BOOST_TEST(Of<SuspectEndpoint>(failed).size() == 1u);
+  BOOST_TEST(Of<RequestPlan>(failed).at(0).excluded.contains("b"));
+  BOOST_TEST(Of<RequestPlan>(failed).at(0).attempt == 2u);
 }
 
-// Every probe answers, yet no token comes on the fresh connection: the link
-// between the stages is at fault. No endpoint is blamed, the answer moves, and
-// the stages that were left hand over their KV cache.
+// Every probe succeeds, yet no token arrives on the new connection: the link
+// between the stages is faulty. No endpoint may be suspected; the answer moves,
+// and the new stages import the KV caches of the old ones.
 BOOST_AUTO_TEST_CASE(FaultBetweenStagesAvoidsThePlanAndImportsItsCache) {
   Running run;
-  run.After(kLongSilence);
+  run.After(kLongStall);
   run.Send(ProbeCompleted{1, "a", true});
   run.Send(ProbeCompleted{1, "b", true});
   const Actions moved = run.After(std::chrono::seconds(3));
@@ -146,9 +147,10 @@
   BOOST_TEST(start.imports.size() == 2u);
 }
 
-// The instance of the first stage is killed. Its kernel resets the connection,
-// and refuses the fresh one within a round trip; only then is it blamed.
-BOOST_AUTO_TEST_CASE(ResetThenRefusedConnectionIsADeadEndpoint) {
+// The process of the first stage is killed. Its kernel resets the connection
+// and refuses the new one within a round trip; only then may the endpoint be
+// suspected.
+BOOST_AUTO_TEST_CASE(ResetThenRefusedConnectionSuspectsTheEndpoint) {
   Running run;
   const Actions reset =
       run.Send(StreamFailed{0, StreamFault::kConnectionLost, {}, Ran::kPartly});
@@ -160,9 +162,9 @@
   BOOST_TEST(Of<RequestPlan>(refused).at(0).excluded.contains("a"));
 }
 
-// Every engine that could serve a new request refuses it: the caller is told
-// at once that it did not run, and that is true.
-BOOST_AUTO_TEST_CASE(RefusedEverywhereIsToldAtOnceAsNotRun) {
+// Every engine that could serve a new request refuses it. The answer must fail
+// immediately, correctly reported as not run.
+BOOST_AUTO_TEST_CASE(RefusalByAllEndpointsIsReportedAsNotRun) {
   AnswerStateMachine machine(SomeRequest());
   machine.Start({});
   machine.Handle({}, PlanReady{0, SomePlan("a", "b")});
@@ -175,9 +177,9 @@
       (Of<Fail>(last) == std::vector<Fail>{Fail{Ran::kNo, Error::kNoCover}}));
 }
 
-// An attempt went silent and a later one was refused. The first may have run,
-// so "not run" would be false (I3).
-BOOST_AUTO_TEST_CASE(ARefusalDoesNotUndoAnEarlierAttempt) {
+// An attempt stalled and a later one was refused. The first may have run, so
+// reporting "not run" would be wrong (I3).
+BOOST_AUTO_TEST_CASE(RefusalDoesNotClearAnEarlierAttempt) {
   AnswerStateMachine machine(SomeRequest());
   machine.Start({});
   machine.Handle({}, PlanReady{0, SomePlan("a", "b")});
@@ -187,8 +189,8 @@
   BOOST_TEST((machine.RanSoFar() == Ran::kUnknown));
 }
 
-// An engine takes each attempt and resets it. Attempts cost prefills on
-// engines that others need, so they end long before the deadline.
+// An engine accepts each attempt and resets it. Each attempt costs a prefill on
+// shared engines, so the attempts must end long before the deadline.
 BOOST_AUTO_TEST_CASE(AttemptsWithoutATokenAreBounded) {
   Running run;
   const DeadlinePolicy policy;
@@ -199,12 +201,13 @@
     run.Send(PlanReady{run.machine.Attempt(), SomePlan("a", "b")});
   }
   BOOST_TEST(run.machine.Done());
-  BOOST_TEST(attempt == policy.idle_attempts);
+  BOOST_TEST(attempt == policy.max_idle_attempts);
 }
 
-// The link between two engines degrades a hundredfold. Every token still comes
-// before its deadline, six times as late as planned. The answer moves, once.
-BOOST_AUTO_TEST_CASE(SlowPlanIsLeftOnce) {
+// The delay of the link between two engines grows a hundredfold. Every token
+// still arrives before its deadline, but takes six times as long as planned.
+// The answer must move to another plan, and only once.
+BOOST_AUTO_TEST_CASE(SlowPlanIsReplacedOnce) {
   AnswerRequest request = SomeRequest();
   request.max_tokens = 200;
   AnswerStateMachine machine(request);
@@ -217,10 +220,10 @@
     token.last = false;
     const bool slow = index > 10;
     clock.Advance(std::chrono::milliseconds(slow ? 120 : 20));
-    const auto asks = Of<RequestPlan>(machine.Handle(clock.Now(), token));
-    if (asks.empty()) continue;
+    const auto requests = Of<RequestPlan>(machine.Handle(clock.Now(), token));
+    if (requests.empty()) continue;
     BOOST_TEST(index <= 15u);
-    BOOST_TEST((asks[0].excluded == std::set<std::string>{"a", "b"}));
+    BOOST_TEST((requests[0].excluded == std::set<std::string>{"a", "b"}));
     ++moves;
     machine.Handle(clock.Now(),
                    PlanReady{machine.Attempt(), SomePlan("c", "d")});
@@ -229,15 +232,15 @@
   BOOST_TEST(machine.Tokens().size() == 40u);
 }
 
-BOOST_AUTO_TEST_CASE(CallerWhoLeavesCancelsTheWork) {
+BOOST_AUTO_TEST_CASE(CallerDisconnectCancelsTheAttempt) {
   Running run;
-  const Actions left = run.Send(CallerDisconnected{});
-  BOOST_TEST(Of<Cancel>(left).size() == 1u);
-  BOOST_TEST((Of<Fail>(left).at(0).ran == Ran::kPartly));
+  const Actions actions = run.Send(CallerDisconnected{});
+  BOOST_TEST(Of<Cancel>(actions).size() == 1u);
+  BOOST_TEST((Of<Fail>(actions).at(0).ran == Ran::kPartly));
   BOOST_TEST(run.machine.Done());
 }
 
-BOOST_AUTO_TEST_CASE(TokensMoveTheTimerOnlyWhenItFires) {
+BOOST_AUTO_TEST_CASE(TokensDoNotRearmThePendingTimer) {
   Running run;
   BOOST_TEST(Of<ArmTimer>(run.Send(GoodToken(0, 2))).empty());
 }
--- a/unittests/pipeline/planner_test.cc
+++ b/unittests/pipeline/planner_test.cc
@@ -42,22 +42,22 @@
   return links;
 }
 
-/// Cheapest cover by trying all of them.
-std::optional<Duration> Exhaustive(const std::vector<EndpointView>& views,
-                                   const LinkCosts& links,
-                                   const std::string& domain, std::uint32_t at,
-                                   const PlanQuery& query) {
-  if (at == query.layers) return Duration(0);
+/// Returns the cost of the cheapest cover by exhaustive search, or nothing.
+std::optional<Duration> CheapestCoverCost(
+    const std::vector<EndpointView>& views, const LinkCosts& links,
+    const std::string& domain, std::uint32_t first_layer,
+    const PlanQuery& query) {
+  if (first_layer == query.layers) return Duration(0);
   std::optional<Duration> best;
   for (const EndpointView& view : views) {
-    const bool fits = view.layers.begin == at &&
+    const bool fits = view.layers.begin == first_layer &&
                       view.state == EndpointState::kLive &&
                       view.layers.end <= query.layers;
     if (!fits || query.excluded.contains(view.id)) continue;
-    const auto rest =
-        Exhaustive(views, links, view.failure_domain, view.layers.end, query);
+    const auto rest = CheapestCoverCost(views, links, view.failure_domain,
+                                        view.layers.end, query);
     if (!rest) continue;
-    const int crossings = at == 0 ? 1 : 2;
+    const int crossings = first_layer == 0 ? 1 : 2;
     const Duration token =
         view.layer_time * view.layers.Count() +
         links.Between(domain, view.failure_domain) * crossings;
@@ -68,12 +68,12 @@
   return best;
 }
 
-/// One endpoint of each layer range and failure domain, so that no draw
-/// hides the best.
+/// At most one endpoint per layer range and failure domain, so that random
+/// draws can't miss the best one.
 std::vector<EndpointView> SomeFleet(std::uint32_t layers) {
   std::map<std::string, EndpointView> views;
   const int count = *rc::gen::inRange(0, 12);
-  for (int at = 0; at < count; ++at) {
+  for (int index = 0; index < count; ++index) {
     const auto begin = *rc::gen::inRange<std::uint32_t>(0, layers);
     const auto end = *rc::gen::inRange<std::uint32_t>(begin + 1, layers + 1);
     const std::string domain(1, *rc::gen::elementOf(std::string("xyz")));
@@ -93,8 +93,8 @@
   return fleet;
 }
 
-// I1, I5: a plan runs each layer once and in order, on live endpoints that
-// were not excluded, and no other cover would finish sooner.
+// I1, I5: a plan must run each layer once and in order, on live endpoints that
+// are not excluded, and no other cover may finish earlier.
 RC_BOOST_PROP(PlanIsTheCheapestExactCover, (std::uint64_t seed)) {
   constexpr std::uint32_t kLayers = 5;
   const std::vector<EndpointView> fleet = SomeFleet(kLayers);
@@ -103,7 +103,7 @@
   Random random(seed);
   const LinkCosts links;
   const auto plan = PlanAnswer(fleet, query, "x", links, random);
-  const auto best = Exhaustive(fleet, links, "x", 0, query);
+  const auto best = CheapestCoverCost(fleet, links, "x", 0, query);
   RC_ASSERT(plan.has_value() == best.has_value());
   if (!plan) {
     RC_ASSERT(plan.error() == Error::kNoCover);
@@ -119,8 +119,9 @@
   RC_ASSERT(times.wait + times.token_gap * query.output_tokens == *best);
 }
 
-// An endpoint announces that it leaves. From then on no answer may start on
-// it (I5), and a fleet without another copy of its layers says what to load.
+// An endpoint announces that it is leaving. From then on no answer may start on
+// it (I5), and if no other endpoint holds its layers, they are reported as
+// missing.
 BOOST_AUTO_TEST_CASE(LeavingEndpointIsInNoPlan) {
   PlanIndex index("x", NoLinks());
   index.Update(View("a", "x", {0, 2}, 10));
@@ -150,8 +151,8 @@
   BOOST_TEST(!index.Choose(query, random).has_value());
 }
 
-// A link between failure domains degrades a hundredfold. A slower engine next
-// door then finishes sooner than a fast one behind the link.
+// The delay between two failure domains grows a hundredfold. A slower engine in
+// the router's domain then finishes earlier than a fast one across the link.
 BOOST_AUTO_TEST_CASE(SlowLinkOutweighsAFasterEngine) {
   LinkCosts links;
   PlanIndex index("x", links);
@@ -166,16 +167,16 @@
              "near");
 }
 
-// Six routers read the same report, in which one endpoint is idle. If each
-// sent its work there, its queue would be six times as long as planned.
+// Six routers read the same report, in which one endpoint is idle. If each sent
+// its work there, the queue would be six times as long as planned.
 BOOST_AUTO_TEST_CASE(RoutersOnTheSameReportDoNotAllChooseTheSame) {
   constexpr int kEndpoints = 16;
   std::map<std::string, int> chosen;
   for (std::uint64_t router = 0; router < 6; ++router) {
     PlanIndex index("x", NoLinks());
-    for (int at = 0; at < kEndpoints; ++at) {
-      EndpointView view = View("e" + std::to_string(at), "x", {0, 4}, 10);
-      view.expected_wait = Duration(at * 100);
+    for (int endpoint = 0; endpoint < kEndpoints; ++endpoint) {
+      EndpointView view = View("e" + std::to_string(endpoint), "x", {0, 4}, 10);
+      view.expected_wait = Duration(endpoint * 100);
       index.Update(view);
     }
     Random random(router);
@@ -188,7 +189,7 @@
   BOOST_TEST(chosen["e0"] > chosen["e15"]);
 }
 
-BOOST_AUTO_TEST_CASE(RemovedAndChangedEndpointsLeaveNoTrace) {
+BOOST_AUTO_TEST_CASE(RemovedAndChangedEndpointsLeaveNoStaleEntries) {
   PlanIndex index("x", NoLinks());
   Random random(3);
   for (int round = 0; round < 50; ++round) {
--- a/unittests/records/parse_test.cc
+++ b/unittests/records/parse_test.cc
@@ -66,15 +66,15 @@
   BOOST_TEST(CheckReferences(GoodRecords()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(MissingReferencesAreAllTold) {
+BOOST_AUTO_TEST_CASE(MissingReferencesAreAllReported) {
   const auto problems =
       CheckReferences({ModelVersion{"v", "m", "w"}, Adapter{"a", "m", "v2"},
                        Pipeline{"p", "m", "v2", "a2", 1, 1}});
   BOOST_TEST(problems.size() == 6u);
 }
 
-// Two customers are given the same bearer key by mistake. The router can't
-// tell them apart, and each can resume the other's answers by id.
+// Two customers have the same bearer key by mistake. The router can't
+// distinguish them, so each could resume the other's answers by id.
 BOOST_AUTO_TEST_CASE(SharedKeyIsAProblem) {
   const auto problems =
       CheckReferences({Customer{"c", kHash, 1}, Customer{"d", kHash, 1}});
@@ -113,20 +113,20 @@
   return value;
 }
 
-/// Replaces or removes what stands at a random place of \p value.
+/// Replaces or removes the value at a random position in \p value.
 void Mutate(json& value) {
   const bool container = value.is_structured() && !value.empty();
   if (!container || *rc::gen::inRange(0, 4) == 0) {
     value = AnyJson(2);
     return;
   }
-  auto place = value.begin();
-  std::advance(place, *rc::gen::inRange<std::size_t>(0, value.size()));
+  auto member = value.begin();
+  std::advance(member, *rc::gen::inRange<std::size_t>(0, value.size()));
   if (*rc::gen::inRange(0, 6) == 0) {
-    value.erase(place);
+    value.erase(member);
     return;
   }
-  Mutate(*place);
+  Mutate(*member);
 }
 
 RC_BOOST_PROP(MutatedRecordsParseOrHaveProblems, ()) {
@@ -142,8 +142,8 @@
     RC_ASSERT(!parsed.assume_error().empty());
     return;
   }
-  const Document& kept = parsed.assume_value();
-  const auto again = ParseRecordValue(ToJson(kept.record, kept.schema));
+  const Document& valid = parsed.assume_value();
+  const auto again = ParseRecordValue(ToJson(valid.record, valid.schema));
   RC_ASSERT(again.has_value());
 }
 
--- a/unittests/timeline/hybrid_clock_test.cc
+++ b/unittests/timeline/hybrid_clock_test.cc
@@ -21,15 +21,15 @@
 };
 
 /// Sends messages between instances whose wall clocks are off by up to
-/// \p skew_millis to either side. A message takes up to a millisecond and the
-/// pause before the next one up to 20; each send and its receipt is a causal
-/// pair. Equal times count as misordered, since a sort by them alone may put
-/// the effect first.
-Misordered Count(std::uint64_t skew_millis, std::uint64_t seed) {
+/// \p skew_millis in either direction, and counts the misordered causal pairs
+/// of a send and its receipt. A message takes up to 1 ms, the pause before the
+/// next one up to 20 ms. Equal times count as misordered, since a sort by time
+/// alone may put the effect first.
+Misordered CountMisordered(std::uint64_t skew_millis, std::uint64_t seed) {
   Random random(seed);
   std::vector<HybridClock> clocks(kInstances);
   std::vector<std::uint64_t> offsets;
-  for (std::uint64_t at = 0; at < kInstances; ++at) {
+  for (std::uint64_t index = 0; index < kInstances; ++index) {
     offsets.push_back(kEpoch + random.Below(2 * skew_millis + 1));
   }
   Misordered misordered;
@@ -51,12 +51,12 @@
   return misordered;
 }
 
-// An operator reads on the time line that an answer was resumed on one
-// instance before its stage was lost on another, and looks for the wrong
-// fault. The instances' wall clocks disagree by a few milliseconds.
+// With wall clocks that differ by a few milliseconds, a time line ordered by
+// them can show that an answer resumed on one instance before its stage was
+// lost on another, and an operator then looks for the wrong fault.
 BOOST_AUTO_TEST_CASE(EffectsComeAfterCausesUnderSkew) {
   for (const std::uint64_t skew : {0, 1, 5, 50, 500}) {
-    const Misordered misordered = Count(skew, 7);
+    const Misordered misordered = CountMisordered(skew, 7);
     BOOST_TEST_MESSAGE("skew up to " << skew << " ms: misordered of "
                                      << kMessages << " pairs: by wall clock "
                                      << misordered.by_wall << ", by stamp "
@@ -66,11 +66,11 @@
   }
 }
 
-// One instance boots with its clock years ahead. All instances that hear from
-// it would show its date on every later event.
-BOOST_AUTO_TEST_CASE(BrokenRemoteClockIsNotFollowed) {
+// One instance starts with its clock years ahead. Every instance that receives
+// its messages would adopt that date for all later events.
+BOOST_AUTO_TEST_CASE(RemoteClockTooFarAheadIsIgnored) {
   HybridClock clock;
-  clock.Observe(Stamp{kEpoch + kMaxAheadMillis + 1, 0}, kEpoch);
+  clock.Observe(Stamp{kEpoch + kMaxRemoteLeadMillis + 1, 0}, kEpoch);
   BOOST_TEST((clock.Tick(kEpoch) == Stamp{kEpoch, 0}));
 }
 
@@ -85,7 +85,8 @@
   }
 }
 
-RC_BOOST_PROP(StampsSurviveTheirText, (std::uint64_t millis, std::uint32_t n)) {
+RC_BOOST_PROP(StampsRoundTripThroughText,
+              (std::uint64_t millis, std::uint32_t n)) {
   RC_ASSERT(ParseStamp(ToText(Stamp{millis, n})) == (Stamp{millis, n}));
 }
 
--- a/unittests/timeline/timeline_test.cc
+++ b/unittests/timeline/timeline_test.cc
@@ -25,9 +25,9 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(FullBufferDropsTheOldestAndSaysSo) {
+BOOST_AUTO_TEST_CASE(FullBufferDropsTheOldestAndCountsIt) {
   Buffer buffer("e1", 3);
-  for (int at = 0; at < 5; ++at) {
+  for (int index = 0; index < 5; ++index) {
     buffer.Add(1000, About(EventKind::kStarted, ""));
   }
   const Page page = buffer.After(0, 10);
@@ -39,9 +39,9 @@
   BOOST_TEST(buffer.After(99, 2).events.empty());
 }
 
-RC_BOOST_PROP(PagesSurviveTheCodec,
+RC_BOOST_PROP(PagesRoundTripThroughTheCodec,
               (std::uint64_t wall, const std::string& text)) {
-  // Bytes that are no UTF-8 are replaced, so only ASCII is compared.
+  // Bytes that are not UTF-8 are replaced, so the test uses only ASCII.
   std::string plain;
   for (const char letter : text) plain += static_cast<char>(letter & 0x7f);
   Buffer buffer("e1", 4);
