--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -21,16 +21,16 @@
 namespace toucanwharf::instance {
 
 /// A request whose answer an endpoint cannot finish, because another endpoint
-/// of its path is silent.
+/// of its path is unresponsive.
 struct StalledAnswer {
   std::string request_id;
-  /// Address of the silent endpoint.
+  /// Address of the unresponsive endpoint.
   std::string address;
 
   friend bool operator==(const StalledAnswer&, const StalledAnswer&) = default;
 };
 
-/// What an endpoint says of itself when asked.
+/// The status that an endpoint reports on request.
 struct EndpointReport {
   /// See endpoints::Endpoint.
   std::uint64_t start_time_ms = 0;
@@ -41,8 +41,8 @@
                          const EndpointReport&) = default;
 };
 
-/// An order to an engine that is the first of an answer's path: run the rest
-/// of it along \p stages, whose first is the engine itself.
+/// Tells the first engine of an answer's path to run the rest of the answer
+/// along \p stages, which begin with that engine.
 struct RerouteOrder {
   std::string request_id;
   std::vector<pipeline::Stage> stages;
@@ -50,23 +50,25 @@
   friend bool operator==(const RerouteOrder&, const RerouteOrder&) = default;
 };
 
-/// A caller's question where to connect.
+/// A caller's request for addresses to connect to.
 struct EntryRequest {
   std::string failure_domain;
 
   friend bool operator==(const EntryRequest&, const EntryRequest&) = default;
 };
 
-/// A call of the store without a byte of an answer for so long counts as lost.
-/// A slow store takes a quarter of a second.
+/// A store call fails after this time without a byte of its answer. A slow
+/// store takes a quarter of a second.
 inline constexpr Duration kStoreInactivityTimeout =
     std::chrono::milliseconds(600);
-/// The same for the whole answer. Where all instances of a large fleet start
-/// anew and read at once, a configuration of 300 KB comes to each in a second.
+/// Time limit for the whole answer. When all instances of a large fleet restart
+/// and read concurrently, each receives a configuration of 300 KB within a
+/// second.
 inline constexpr Duration kStoreResponseTimeout =
     std::chrono::milliseconds(3000);
 
-/// The store's calls. Every callback runs once, later, on the loop's thread.
+/// The store's calls. Every callback runs once, asynchronously, on the loop's
+/// thread.
 template <typename S>
 concept ObjectStore = requires(
     S& store, const store::ObjectKey& key, const store::Write& write,
@@ -79,13 +81,14 @@
   store.Remove(key);
 };
 
-/// A deployment's names, formats and calls. It translates and decides nothing;
-/// everything else in this library is the same on every deployment.
+/// Names, formats and calls of a deployment. An adapter only translates and
+/// makes no decisions; the rest of this library is the same on every
+/// deployment.
 template <typename A>
 concept Adapter = requires(const std::string& text, std::string_view target,
                            const store::Object& object,
                            const placement::PlaceOrder& order,
-                           const RerouteOrder& repath, int status,
+                           const RerouteOrder& reroute, int status,
                            const std::vector<std::string>& addresses,
                            Duration length) {
   requires ObjectStore<typename A::Store>;
@@ -100,9 +103,9 @@
   { A::ReportRequest() } -> std::same_as<http::Request>;
   { A::ToReport(text) } -> std::same_as<std::optional<EndpointReport>>;
   { A::OrderRequest(order) } -> std::same_as<http::Request>;
-  { A::RerouteRequest(repath) } -> std::same_as<http::Request>;
+  { A::RerouteRequest(reroute) } -> std::same_as<http::Request>;
   { A::ToRerouteFault(text) } -> std::same_as<std::string>;
-  { A::PathText(repath.stages) } -> std::same_as<std::string>;
+  { A::PathText(reroute.stages) } -> std::same_as<std::string>;
   { A::ToOrderEnd(status) } -> std::same_as<placement::OrderOutcome>;
   { A::IsReadinessRequest(target) } -> std::same_as<bool>;
   { A::ToEntryRequest(target) } -> std::same_as<std::optional<EntryRequest>>;
--- a/include/toucanwharf/instance/endpoint_list_log.h
+++ b/include/toucanwharf/instance/endpoint_list_log.h
@@ -10,31 +10,32 @@
 
 namespace toucanwharf::instance {
 
-/// What may have changed the endpoints in use.
+/// What may have changed the set of endpoints in use.
 enum class ListCause {
   /// A list was read from the store.
   kStore,
-  /// A list was had from a peer.
+  /// A list was fetched from a peer.
   kPeer,
-  /// The time is over in which missing entries are kept.
+  /// The grace period ended in which missing entries are retained.
   kGraceOver,
 };
 
-/// Logs what this instance believes of the endpoints where that has changed.
+/// Logs changes of the endpoint list that this instance uses.
 /// Thread safety: none; for one thread.
 class EndpointListLog {
  public:
   /// Precondition: the logger outlives the object.
   explicit EndpointListLog(eventlog::Logger& log) : logger(log) {}
 
-  /// Notes that \p table was brought up to date for \p cause, which \p changed
-  /// it or not; \p unreadable entries of the list could not be read.
+  /// Logs \p table after an update for \p cause if \p changed is set or the
+  /// number of retained entries differs. \p unreadable counts the entries of
+  /// the list that could not be parsed.
   void OnList(const endpoints::EndpointTable& table, ListCause cause,
               bool changed, std::int64_t unreadable, TimePoint now);
 
  private:
   eventlog::Logger& logger;
-  std::size_t kept_before = 0;
+  std::size_t retained_before = 0;
 };
 
 }  // namespace toucanwharf::instance
--- a/include/toucanwharf/instance/engine_probe.h
+++ b/include/toucanwharf/instance/engine_probe.h
@@ -14,18 +14,18 @@
 
 namespace toucanwharf::instance {
 
-/// What an engine answered when asked.
+/// Result of a liveness probe.
 struct ProbeAnswer {
-  /// Whether any answer came; false means that the engine is silent.
+  /// False if the engine is unresponsive.
   bool alive = false;
-  /// What it said of itself, if that could be read.
+  /// The engine's report, if it could be parsed.
   std::optional<EndpointReport> report;
 
   friend bool operator==(const ProbeAnswer&, const ProbeAnswer&) = default;
 };
 
-/// Asks engines for their reports and tells within some tens of milliseconds
-/// which of them are silent: an answer that has stopped waits for it.
+/// Requests engines' reports and determines within some tens of milliseconds
+/// which engines are unresponsive; stalled answers wait for the result.
 /// Thread safety: only on the loop's thread.
 class EngineProbe {
  public:
@@ -35,49 +35,50 @@
 
   /// Precondition: \p event_loop and \p http_client outlive the probe.
   EngineProbe(http::Loop& event_loop, http::Client& http_client,
-              http::Request question, ToReport decode);
+              http::Request report_request, ToReport decode);
 
-  /// Asks the engine at \p address, unless it has answered since \p since.
-  /// Those who ask together share one question. \p askers is how many instances
-  /// may ask at the same moment: each new connection costs an engine time, and
-  /// one that has to accept many is not silent. \p done is called once, later.
-  void Ask(const std::string& address, TimePoint since, std::size_t askers,
-           OnAnswer done);
+  /// Probes the engine at \p address, unless it has answered since \p since.
+  /// Concurrent calls for one address share a probe. \p probers is how many
+  /// instances may probe an engine at the same moment: each new connection
+  /// costs the engine time, and one that has to accept many is not
+  /// unresponsive. \p done is called once, asynchronously.
+  void Check(const std::string& address, TimePoint since, std::size_t probers,
+             OnAnswer done);
 
  private:
-  struct Question {
+  struct PendingProbe {
     std::string address;
-    TimePoint asked;
+    TimePoint started;
     std::vector<OnAnswer> waiting;
-    int under_way = 0;
-    Duration second_after{0};
-    Duration silent_after{0};
-    bool second_sent = false;
-    /// A part of it ended in a way that only a live engine shows.
-    bool sign_of_life = false;
-    http::TimerId second_timer = 0;
+    int in_flight = 0;
+    Duration repeat_after{0};
+    Duration unresponsive_after{0};
+    bool repeated = false;
+    /// A call ended in a way that only a live engine causes.
+    bool liveness_seen = false;
+    http::TimerId repeat_timer = 0;
   };
   struct Recent {
-    TimePoint at;
+    TimePoint time;
     ProbeAnswer answer;
   };
 
-  void Begin(const std::shared_ptr<Question>& question);
-  void Send(const std::shared_ptr<Question>& question, Duration timeout,
+  void Begin(const std::shared_ptr<PendingProbe>& pending);
+  void Send(const std::shared_ptr<PendingProbe>& pending, Duration timeout,
             http::Reuse reuse);
-  void SendSecond(const std::shared_ptr<Question>& question);
-  void OnPart(const std::shared_ptr<Question>& question, bool timed_out,
-              const http::CallResult& result, const http::ResponseHead& head,
-              const std::string& body);
-  void End(const std::shared_ptr<Question>& question,
-           const ProbeAnswer& answer);
+  void SendRepeat(const std::shared_ptr<PendingProbe>& pending);
+  void OnCallDone(const std::shared_ptr<PendingProbe>& pending, bool timed_out,
+                  const http::CallResult& result,
+                  const http::ResponseHead& head, const std::string& body);
+  void Complete(const std::shared_ptr<PendingProbe>& pending,
+                const ProbeAnswer& answer);
 
   http::Loop& loop;
   http::Client& client;
   http::Request request;
   ToReport to_report;
-  std::map<std::string, std::shared_ptr<Question>> asked;
-  /// The last answer of each engine.
+  std::map<std::string, std::shared_ptr<PendingProbe>> probes;
+  /// The last result for each address.
   std::map<std::string, Recent> recent;
 };
 
--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -28,20 +28,20 @@
 
 namespace toucanwharf::instance {
 
-/// How the gateway talks to an engine beside the requests themselves.
+/// The deployment's calls to an engine besides the proxied requests.
 struct EngineCalls {
   http::Request report;
   std::function<std::optional<EndpointReport>(const std::string&)> to_report;
-  std::function<http::Request(const RerouteOrder&)> repath;
+  std::function<http::Request(const RerouteOrder&)> reroute;
   std::function<std::string(const std::vector<pipeline::Stage>&)> path_text;
-  /// Returns the address of the engine that keeps a change of path from being
-  /// made, from the refusal's body; empty if it names none.
-  std::function<std::string(const std::string&)> repath_fault;
+  /// Returns the address of the engine that prevents a reroute, from the body
+  /// of the refusal; empty if it names none.
+  std::function<std::string(const std::string&)> reroute_fault;
 };
 
-/// How many answers took how long.
+/// Distribution of answer latencies.
 struct LatencyHistogram {
-  /// Upper bounds of the buckets; a last one takes the rest. Around the
+  /// Upper bounds of the buckets; a last bucket is unbounded. They surround the
   /// objectives of 300 and 500 ms that operators state.
   static constexpr std::array<Duration, 8> kBounds = {
       std::chrono::milliseconds(25),   std::chrono::milliseconds(50),
@@ -52,7 +52,7 @@
   std::array<std::uint64_t, kBounds.size() + 1> counts{};
   Duration sum{0};
 
-  /// Counts one answer that took \p length.
+  /// Records one answer that took \p length.
   void Add(Duration length) {
     const auto bucket =
         std::lower_bound(kBounds.begin(), kBounds.end(), length);
@@ -64,7 +64,7 @@
                          const LatencyHistogram&) = default;
 };
 
-/// Counts of what became of requests.
+/// Counts of requests by outcome.
 struct GatewayCounters {
   std::uint64_t received = 0;
   std::uint64_t answered = 0;
@@ -89,7 +89,8 @@
 
 class ProxiedRequest;
 
-/// Passes callers' requests on to endpoints and their answers back.
+/// Proxies callers' requests to endpoints and relays the answers. Owned by
+/// Instance.
 /// Thread safety: only on the loop's thread.
 class Gateway {
  public:
@@ -99,72 +100,73 @@
           const InstanceSettings& chosen, HeaderNames header_names,
           EngineCalls engine_calls);
 
-  /// Calls \p task when an engine turns out to be silent, so that the other
-  /// instances hear of it.
-  void OnSilentEngine(std::function<void()> task) {
-    this->tell_silent = std::move(task);
+  /// Calls \p task when this instance finds an engine unresponsive, so that it
+  /// can notify the other instances.
+  void OnUnresponsiveEngine(std::function<void()> task) {
+    this->announce_unresponsive = std::move(task);
   }
-  /// Leads the answers around \p endpoint that were under way through it and
-  /// have stopped, without further questions.
+  /// Checks all answers that run through the unresponsive \p endpoint, and
+  /// resumes or reroutes those that have stalled, without further probes.
   void RerouteAround(const std::string& endpoint);
-  /// Takes a request; its answer may come much later.
+  /// Accepts a request; its answer may be sent much later.
   void Handle(std::shared_ptr<http::Exchange> exchange);
-  /// Sets who shares the budget of extra arrivals.
+  /// Sets which instances share the budget of extra arrivals.
   void SetSharers(const attempts::BudgetSharers& known) {
     this->budget.SetSharers(known);
   }
-  /// Returns whom it takes to share the budget of extra arrivals.
+  /// Returns which instances are assumed to share the budget of extra arrivals.
   const attempts::BudgetSharers& Sharers() const {
     return this->budget.Sharers();
   }
-  /// Returns how many requests are under way.
-  std::size_t UnderWay() const {
-    return this->passages.size() + this->early.size();
+  /// Returns how many requests are in flight.
+  std::size_t InFlight() const {
+    return this->active.size() + this->early_requests.size();
   }
   const GatewayCounters& Counters() const { return this->counters; }
 
  private:
   friend class ProxiedRequest;
 
-  /// A request that came before this process knew where to send it.
-  struct Early {
+  /// A request that arrived before this process had the state to route it.
+  struct EarlyRequest {
     std::shared_ptr<http::Exchange> exchange;
     TimePoint arrived;
     std::size_t bytes = 0;
   };
 
-  /// Takes a request that arrived at \p arrived.
-  void Take(std::shared_ptr<http::Exchange> exchange, TimePoint arrived);
-  void TakeEarly();
+  /// Admits or refuses a request that arrived at \p arrived.
+  void Admit(std::shared_ptr<http::Exchange> exchange, TimePoint arrived);
+  void AdmitEarly();
 
-  /// Returns whether all engines of a path that paused are asked whether they
-  /// live, and not its first one only.
+  /// Returns whether to probe every engine of a stalled path instead of only
+  /// its first one.
   ///
-  /// Load against which a large fleet is spared: all instances lose answers by
-  /// one dead or slow engine, and if each asked all engines of its paths, the
-  /// questions alone would keep healthy engines from answering in time, which
-  /// would be taken as silent too. A leader that asks for all is overrun by the
-  /// doubts of the others. There the first engine's report tells of a silent
-  /// one.
-  bool AsksWholePaths(TimePoint now) const;
-  /// Finds out which of \p engines are silent, unless they have answered since
-  /// \p since.
-  void Doubt(const std::vector<pipeline::Stage>& engines, TimePoint since);
-  void AskWhetherAlive(const pipeline::Stage& stage, TimePoint since);
-  /// Returns how many instances may ask an engine at the same moment.
-  std::size_t Askers() const;
-  /// Notes that \p endpoint gives no sign of life.
-  void NoteSilent(const std::string& endpoint);
-  /// Returns what the streams under way, but for \p except, show of engines.
-  std::vector<endpoints::LivenessEvidence> SignsBeside(
+  /// Load: one dead or slow engine stalls answers on all instances. In a large
+  /// fleet, if each instance probed all engines of its paths, the probes alone
+  /// would keep healthy engines from answering in time, so that these would be
+  /// taken as unresponsive too. A leader that probes for all would be flooded
+  /// with the others' suspicions. There the first engine's report names the
+  /// unresponsive one.
+  bool ProbesWholePaths(TimePoint now) const;
+  /// Probes those of \p engines that have not answered since \p since.
+  void ProbeEngines(const std::vector<pipeline::Stage>& engines,
+                    TimePoint since);
+  void ProbeEngine(const pipeline::Stage& stage, TimePoint since);
+  /// Returns how many instances may probe an engine at the same moment.
+  std::size_t ConcurrentProbers() const;
+  /// Records that \p endpoint did not respond to a liveness probe.
+  void SetUnresponsive(const std::string& endpoint);
+  /// Returns the evidence of live engines from the streams in flight, except
+  /// that of \p except.
+  std::vector<endpoints::LivenessEvidence> EvidenceExcept(
       const ProxiedRequest& except) const;
-  /// Lets \p passage wait until there is room for its answer.
-  void Enqueue(std::shared_ptr<ProxiedRequest> passage);
+  /// Queues \p request until there is capacity for its answer.
+  void Enqueue(std::shared_ptr<ProxiedRequest> request);
   void ServeQueue();
 
   void Refuse(http::Exchange& exchange, int status, Duration retry_after,
               std::string_view reason);
-  bool TooLateToTake(TimePoint now) const;
+  bool TooLateToAccept(TimePoint now) const;
 
   http::Loop& loop;
   http::Client& client;
@@ -177,12 +179,12 @@
   EngineCalls calls;
   GatewayCounters counters;
   EngineProbe probe;
-  attempts::ProbeBackoff restraint;
-  std::function<void()> tell_silent;
-  /// All requests under way.
-  std::set<ProxiedRequest*> passages;
-  attempts::StartupWait start_wait;
-  std::vector<Early> early;
+  attempts::ProbeBackoff probe_backoff;
+  std::function<void()> announce_unresponsive;
+  /// All requests in flight.
+  std::set<ProxiedRequest*> active;
+  attempts::StartupWait startup_wait;
+  std::vector<EarlyRequest> early_requests;
   std::deque<std::shared_ptr<ProxiedRequest>> queue;
   http::TimerId queue_timer = 0;
 };
--- a/include/toucanwharf/instance/instance.h
+++ b/include/toucanwharf/instance/instance.h
@@ -25,7 +25,7 @@
 
 namespace toucanwharf::instance {
 
-/// One router process: all parts on one loop.
+/// One router process: all parts on one event loop.
 /// Thread safety: only on the thread that calls Run.
 template <Adapter A>
 class Instance {
@@ -41,19 +41,19 @@
                 this->settings, A::Headers(),
                 {A::ReportRequest(), &A::ToReport, &A::RerouteRequest,
                  &A::PathText, &A::ToRerouteFault}),
-        peers(this->loop, this->client, this->state, this->logger, this->lists,
-              this->settings),
+        peers(this->loop, this->client, this->state, this->logger,
+              this->endpoint_log, this->settings),
         sync(
-            this->loop, this->store, this->state, this->logger, this->lists,
-            [this] { this->OnChange(); },
+            this->loop, this->store, this->state, this->logger,
+            this->endpoint_log, [this] { this->OnChange(); },
             StoreSyncTimes(this->settings.bounds.configuration),
             gossip::InitialReadPolicy(this->settings.processor_share,
                                       this->loop.Now(), this->random.Unit())),
         placement(this->loop, this->client, this->store, this->state,
                   this->peers, this->logger, this->settings) {}
 
-  /// Listens and serves until it was told to stop. Returns an error if it
-  /// can't listen.
+  /// Listens and serves until told to stop. Returns an error if it cannot
+  /// listen.
   Result<void> Run() {
     this->logger.Write(eventlog::Level::kNotable, "start",
                        eventlog::Fields()
@@ -66,9 +66,9 @@
           this->sync.Adopt(revision, text);
         },
         [this] { this->OnChange(); }));
-    this->gateway.OnSilentEngine(
-        [this] { this->peers.AnnounceSilentEngine(); });
-    this->peers.OnSilentEngine([this](const std::string& endpoint) {
+    this->gateway.OnUnresponsiveEngine(
+        [this] { this->peers.AnnounceUnresponsiveEngine(); });
+    this->peers.OnUnresponsiveEngine([this](const std::string& endpoint) {
       this->gateway.RerouteAround(endpoint);
     });
     this->sync.Start();
@@ -76,46 +76,48 @@
     this->Register();
     this->loop.OnSignal(SIGTERM, [this] { this->Stop(); });
     this->loop.OnSignal(SIGINT, [this] { this->Stop(); });
-    // Settings are read at the start only: addresses and bounds don't change
+    // Settings are read only at the start: addresses and bounds do not change
     // while a process runs.
     this->loop.OnSignal(SIGHUP, [this] {
       this->logger.Write(eventlog::Level::kNotable, "reload_ignored",
                          eventlog::Fields(), this->loop.Now());
     });
-    this->loop.Every(kHousekeeping, [this] { this->Housekeep(); });
+    this->loop.Every(kHousekeepingPeriod, [this] { this->RunHousekeeping(); });
     this->loop.Run();
     this->logger.Flush();
     return Success();
   }
 
  private:
-  /// Flushes the log, and looks whether a stop is done.
-  static constexpr Duration kHousekeeping = std::chrono::milliseconds(100);
-  /// After the signal to stop, callers may still come for as long as the other
-  /// instances take to hear of it.
-  static constexpr Duration kLeastDrain = std::chrono::milliseconds(1500);
-  /// Time for the last answers to leave before the kill.
-  static constexpr Duration kBeforeKill = std::chrono::milliseconds(400);
-  static constexpr Duration kAdviceLives = std::chrono::seconds(2);
-  static constexpr std::size_t kMostAdvised = 64;
+  /// Period of flushing the log and checking whether a stop has completed.
+  static constexpr Duration kHousekeepingPeriod =
+      std::chrono::milliseconds(100);
+  /// After the signal to stop, callers may still arrive until the other
+  /// instances have received the news.
+  static constexpr Duration kMinDrain = std::chrono::milliseconds(1500);
+  /// Time reserved for the last answers to be sent before the kill.
+  static constexpr Duration kKillMargin = std::chrono::milliseconds(400);
+  static constexpr Duration kAdviceLifetime = std::chrono::seconds(2);
+  static constexpr std::size_t kMaxAdvisedInstances = 64;
   static constexpr const char* kMetricsPath = "/metrics";
 
   Result<void> Listen() {
-    BOOST_OUTCOME_TRY(opened,
-                      this->Open(this->settings.callers_address,
-                                 [this](std::shared_ptr<http::Exchange> one) {
-                                   this->gateway.Handle(std::move(one));
-                                 }));
-    this->front = std::move(opened);
-    const auto ask = [this](const std::shared_ptr<http::Exchange>& one) {
-      this->HandleQuestion(one);
-    };
+    BOOST_OUTCOME_TRY(
+        opened, this->Open(this->settings.callers_address,
+                           [this](std::shared_ptr<http::Exchange> exchange) {
+                             this->gateway.Handle(std::move(exchange));
+                           }));
+    this->caller_server = std::move(opened);
+    const auto handle =
+        [this](const std::shared_ptr<http::Exchange>& exchange) {
+          this->HandleControlRequest(exchange);
+        };
     for (const std::string& address :
          {this->settings.ready_address, this->settings.directory_address,
           this->settings.control_address}) {
       if (address.empty()) continue;
-      BOOST_OUTCOME_TRY(server, this->Open(address, ask));
-      this->others.push_back(std::move(server));
+      BOOST_OUTCOME_TRY(server, this->Open(address, handle));
+      this->control_servers.push_back(std::move(server));
     }
     return Success();
   }
@@ -134,8 +136,9 @@
     return server;
   }
 
-  void HandleQuestion(const std::shared_ptr<http::Exchange>& asked) {
-    http::Exchange& exchange = *asked;
+  void HandleControlRequest(
+      const std::shared_ptr<http::Exchange>& shared_exchange) {
+    http::Exchange& exchange = *shared_exchange;
     const std::string& target = exchange.Received().target;
     const TimePoint now = this->loop.Now();
     http::ResponseHead head;
@@ -145,11 +148,11 @@
       exchange.Respond(head, "");
       return;
     }
-    if (const auto question = A::ToEntryRequest(target)) {
+    if (const auto entry_request = A::ToEntryRequest(target)) {
       const auto addresses = this->Advice(now);
       if (addresses.empty()) head.status = http::kUnavailable;
       head.headers.Add("Content-Type", "application/json");
-      exchange.Respond(head, A::EntryResponse(addresses, kAdviceLives));
+      exchange.Respond(head, A::EntryResponse(addresses, kAdviceLifetime));
       return;
     }
     if (target == kMetricsPath) {
@@ -158,35 +161,37 @@
                                          this->logger.Dropped(), now));
       return;
     }
-    if (this->peers.HandlePeer(asked)) return;
+    if (this->peers.HandlePeer(shared_exchange)) return;
     head.status = http::kNotFound;
     exchange.Respond(head, "");
   }
 
-  /// Returns where callers may connect: the instances that are ready, by the
-  /// leader's word or their own.
+  /// Returns addresses that callers may connect to: the instances that are
+  /// ready, as reported by the leader or by themselves.
   std::vector<std::string> Advice(TimePoint now) {
     std::vector<std::string> addresses = this->state.ReadyPeers(
         now, this->settings.callers_address, this->settings.datagram_address);
     if (this->state.Ready(now)) {
       addresses.push_back(this->settings.callers_address);
     }
-    // Callers read this many; each instance leaves others out.
+    // Callers read this many; each instance omits different ones.
     std::shuffle(addresses.begin(), addresses.end(), this->random);
-    addresses.resize(std::min(addresses.size(), kMostAdvised));
+    addresses.resize(std::min(addresses.size(), kMaxAdvisedInstances));
     return addresses;
   }
 
   void OnChange() {
     this->peers.AnnounceChange();
-    this->TellAtStart();
-    if (!this->state.table) return;
-    const routes::CallerLimits& limits = this->state.table->All().limits;
-    this->front->SetLimits({limits.max_header_bytes, limits.max_body_bytes,
-                            limits.header_timeout, limits.idle_timeout});
+    this->AnnounceStartupData();
+    if (!this->state.route_table) return;
+    const routes::CallerLimits& limits = this->state.route_table->All().limits;
+    this->caller_server->SetLimits(
+        {limits.max_header_bytes, limits.max_body_bytes, limits.header_timeout,
+         limits.idle_timeout});
   }
 
-  /// Writes this instance's address to the store and learns the others'.
+  /// Writes this instance's address to the store, then reads those of the
+  /// others.
   void Register() {
     store::Write write;
     write.key = {A::InstanceCollection(), this->settings.name};
@@ -200,19 +205,19 @@
   }
 
   void OnRegistered(store::Write write, const store::WriteAnswer& answer) {
-    // Only now: of two instances that start together, the one whose entry was
-    // written last reads the other's. If both read first, neither would hear of
-    // the other.
+    // The list is read only after the write: of two instances that start
+    // together, the one that wrote last then reads the other's entry. If both
+    // read first, neither would learn of the other.
     if (answer.status == store::WriteStatus::kWritten) {
-      this->LearnInstances();
+      this->ListInstances();
       return;
     }
-    // The entry of an earlier start is overwritten, and at once: until it is,
-    // this process doesn't know how many others there are.
+    // An entry of an earlier start is overwritten immediately: until then this
+    // process does not know how many others there are.
     const bool earlier_start = write.if_version == 0 && answer.version > 0;
-    constexpr Duration kAgain = std::chrono::milliseconds(700);
+    constexpr Duration kRetryDelay = std::chrono::milliseconds(700);
     write.if_version = answer.version;
-    this->loop.After(earlier_start ? Duration(0) : kAgain, [this, write] {
+    this->loop.After(earlier_start ? Duration(0) : kRetryDelay, [this, write] {
       if (this->state.stopping_since) return;
       this->store.Write(write, [this, write](const auto& next) {
         this->OnRegistered(write, next);
@@ -220,64 +225,67 @@
     });
   }
 
-  void LearnInstances() {
+  void ListInstances() {
     this->store.List(
         A::InstanceCollection(),
         [this](const std::optional<store::Listing>& listing) {
-          constexpr Duration kAgain = std::chrono::milliseconds(1000);
+          constexpr Duration kRetryDelay = std::chrono::milliseconds(1000);
           if (!listing) {
-            this->loop.After(kAgain, [this] { this->LearnInstances(); });
+            this->loop.After(kRetryDelay, [this] { this->ListInstances(); });
             return;
           }
           std::vector<Registration> registered;
           for (const store::Object& object : listing->objects) {
-            auto one = RegistrationFromText(object.value);
-            if (one) registered.push_back(std::move(*one));
+            auto registration = RegistrationFromText(object.value);
+            if (registration) registered.push_back(std::move(*registration));
           }
           this->peers.AddRegistered(registered);
-          this->state.knows_instances = true;
-          this->TellAtStart();
-          this->ShareBudget(this->loop.Now());
+          this->state.instances_known = true;
+          this->AnnounceStartupData();
+          this->UpdateBudgetSharers(this->loop.Now());
         });
   }
 
-  /// Tells the failure domain, once, that this process has what others that
-  /// have just started wait for.
-  void TellAtStart() {
-    const bool reads_first =
+  /// Announces to the failure domain, once, that this process has the data that
+  /// other starting processes wait for.
+  void AnnounceStartupData() {
+    const bool reads_immediately =
         gossip::ReadsImmediately(this->settings.processor_share);
-    const bool has = this->state.knows_instances && this->state.table &&
-                     this->state.endpoints.Revision() > 0;
-    if (!reads_first || !has || std::exchange(this->told_at_start, true)) {
+    const bool has_data = this->state.instances_known &&
+                          this->state.route_table &&
+                          this->state.endpoints.Revision() > 0;
+    if (!reads_immediately || !has_data ||
+        std::exchange(this->startup_announced, true)) {
       return;
     }
     this->peers.AnnounceToDomain();
   }
 
-  /// Tells the gateway who shares the budget of extra arrivals, once that is
-  /// known. If the store has not told it for a whole window, those count that
-  /// were heard of.
-  void ShareBudget(TimePoint now) {
+  /// Tells the gateway which instances share the budget of extra arrivals, once
+  /// they are known. If the store has not listed them for a whole window, the
+  /// peers that have been contacted count.
+  void UpdateBudgetSharers(TimePoint now) {
     const Duration window = this->settings.budget.window;
     const bool long_enough = now - this->started >= window;
-    if (!this->state.knows_instances && !long_enough) return;
+    if (!this->state.instances_known && !long_enough) return;
     this->gateway.SetSharers({this->state.peers.InstanceCount(now),
                               this->state.peers.StartedWithin(window, now)});
   }
 
-  void Housekeep() {
+  void RunHousekeeping() {
     const TimePoint now = this->loop.Now();
-    this->ShareBudget(now);
-    this->NoteBeliefs(now);
-    if (this->state.stopping_since) this->EndIfDone(now);
+    this->UpdateBudgetSharers(now);
+    this->LogStateChanges(now);
+    if (this->state.stopping_since) this->StopIfDone(now);
     this->logger.Flush();
   }
 
-  /// Logs when keys begin or cease to be admitted, and callers to be sent here.
-  void NoteBeliefs(TimePoint now) {
+  /// Logs when this instance starts or stops admitting keys, and when it
+  /// becomes ready or not ready for callers.
+  void LogStateChanges(TimePoint now) {
     const auto age = this->state.freshness.Age(now);
-    const bool keys = this->state.KeysHold(now);
-    if (std::exchange(this->keys_held, keys) != keys) {
+    const bool keys = this->state.MayAcceptKeys(now);
+    if (std::exchange(this->keys_accepted, keys) != keys) {
       eventlog::Fields fields;
       if (age) fields.Millis("configuration_age_ms", *age);
       this->logger.Write(eventlog::Level::kNotable,
@@ -297,23 +305,23 @@
     this->logger.Write(
         eventlog::Level::kNotable, "stopping",
         eventlog::Fields().Count(
-            "under_way", static_cast<std::int64_t>(this->gateway.UnderWay())),
+            "under_way", static_cast<std::int64_t>(this->gateway.InFlight())),
         now);
-    this->front->CloseAfterResponses();
+    this->caller_server->CloseAfterResponses();
     this->peers.Announce();
     this->placement.Release();
     this->store.Remove({A::InstanceCollection(), this->settings.name});
   }
 
-  void EndIfDone(TimePoint now) {
-    const Duration since = now - *this->state.stopping_since;
-    const bool idle = this->gateway.UnderWay() == 0 && since > kLeastDrain;
-    const bool late = since > this->settings.bounds.grace - kBeforeKill;
+  void StopIfDone(TimePoint now) {
+    const Duration elapsed = now - *this->state.stopping_since;
+    const bool idle = this->gateway.InFlight() == 0 && elapsed > kMinDrain;
+    const bool late = elapsed > this->settings.bounds.grace - kKillMargin;
     if (!idle && !late) return;
     this->logger.Write(
         eventlog::Level::kNotable, "stopped",
         eventlog::Fields().Count(
-            "cut", static_cast<std::int64_t>(this->gateway.UnderWay())),
+            "cut", static_cast<std::int64_t>(this->gateway.InFlight())),
         now);
     this->loop.Stop();
   }
@@ -321,7 +329,7 @@
   InstanceSettings settings;
   http::Loop loop;
   eventlog::Logger logger;
-  EndpointListLog lists{this->logger};
+  EndpointListLog endpoint_log{this->logger};
   InstanceState state;
   Random random{HashText(this->state.instance)};
   http::Client client;
@@ -331,11 +339,11 @@
   StoreSync<A> sync;
   PlacementDriver<A> placement;
   TimePoint started{this->loop.Now()};
-  bool told_at_start = false;
-  bool keys_held = false;
+  bool startup_announced = false;
+  bool keys_accepted = false;
   bool was_ready = false;
-  std::unique_ptr<http::Server> front;
-  std::vector<std::unique_ptr<http::Server>> others;
+  std::unique_ptr<http::Server> caller_server;
+  std::vector<std::unique_ptr<http::Server>> control_servers;
 };
 
 }  // namespace toucanwharf::instance
--- a/include/toucanwharf/instance/instance_state.h
+++ b/include/toucanwharf/instance/instance_state.h
@@ -16,17 +16,18 @@
 
 namespace toucanwharf::instance {
 
-/// What one process believes about the world, read by all its parts.
+/// State of one process that all its parts share: configuration, endpoints,
+/// loads and peers. Owned by Instance.
 /// Thread safety: none; for the loop's thread.
 struct InstanceState {
   explicit InstanceState(const InstanceSettings& settings,
                          std::string instance_id);
 
-  /// Changes with each start.
+  /// Id of this process; differs after each start.
   std::string instance;
-  /// The configuration in force, or null before the first.
-  std::shared_ptr<const routes::RouteTable> table;
-  /// Store's revision and text of it.
+  /// The configuration in force, or null before the first one.
+  std::shared_ptr<const routes::RouteTable> route_table;
+  /// Its revision in the store, and its text.
   std::uint64_t configuration_revision = 0;
   std::string configuration_text;
   routes::Freshness freshness;
@@ -34,28 +35,30 @@
   endpoints::LoadTracker loads;
   gossip::PeerTable peers;
   gossip::ReadyInstanceList ready_list;
-  /// Datagram addresses of the leader's backup leaders, in a large fleet, as
-  /// the leader last named them; and whether this instance is one of them.
+  /// Datagram addresses of the backup leaders of a large fleet, as last
+  /// announced by the leader, or chosen among the registered instances before
+  /// that; and whether this instance is one of them.
   std::vector<std::string> backup_leaders;
   bool is_backup_leader = false;
-  /// Whether this process was told to stop, and when.
+  /// When this process was told to stop.
   std::optional<TimePoint> stopping_since;
-  /// Whether it holds the placement lease.
+  /// Whether this instance holds the placement lease.
   bool leads = false;
-  /// Whether the list of instances was read from the store.
-  bool knows_instances = false;
+  /// Whether the list of instances has been read from the store.
+  bool instances_known = false;
 
-  /// Returns whether requests can be judged: the configuration and the list of
-  /// endpoints are known, and keys may be admitted.
-  bool KnowEnough(TimePoint now) const;
-  /// Returns whether callers may be sent here.
+  /// Returns whether requests can be admitted or refused: the configuration and
+  /// the list of endpoints are known, and keys may be accepted.
+  bool CanAdmitRequests(TimePoint now) const;
+  /// Returns whether callers may be directed to this instance.
   bool Ready(TimePoint now) const;
-  /// Returns where callers may connect to other instances. Ports are the same
-  /// on all instances; \p callers and \p datagrams are this one's addresses.
+  /// Returns the addresses where callers may connect to other instances. Ports
+  /// are the same on all instances; \p callers and \p datagrams are this
+  /// instance's addresses.
   std::vector<std::string> ReadyPeers(TimePoint now, const std::string& callers,
                                       const std::string& datagrams) const;
-  /// Returns whether keys may be admitted.
-  bool KeysHold(TimePoint now) const;
+  /// Returns whether keys may be accepted.
+  bool MayAcceptKeys(TimePoint now) const;
 
   bool strict_revocation;
 };
--- a/include/toucanwharf/instance/mechanisms.h
+++ b/include/toucanwharf/instance/mechanisms.h
@@ -6,43 +6,44 @@
 
 namespace toucanwharf::instance {
 
-/// Parts of the router's policy that can be switched off one by one, so that
-/// what each is worth can be measured on a deployment. All are on in service.
+/// Parts of the router's policy that can be disabled one by one, to measure the
+/// effect of each on a deployment. All are enabled in production.
 struct Mechanisms {
-  /// Engines of a path that paused are asked whether they live.
-  bool engine_questions = true;
-  /// An answer that lost an engine goes on elsewhere rather than changing its
-  /// path.
+  /// All engines of a stalled path are probed for liveness.
+  bool engine_probes = true;
+  /// An answer that lost an engine resumes on another path rather than changing
+  /// its path.
   bool resume_first = true;
-  /// Answers that go on elsewhere begin at engines drawn at random.
+  /// Resumed answers start at engines drawn at random.
   bool spread_resumed = true;
-  /// Requests of a start's first moment wait for the configuration.
-  bool start_wait = true;
-  /// Requests wait a moment for room.
-  bool room_queue = true;
-  /// Engines to spare hold copies of layers.
+  /// Requests that arrive right after a start wait for the configuration.
+  bool startup_wait = true;
+  /// Requests wait briefly for free capacity.
+  bool capacity_queue = true;
+  /// Spare engines hold copies of layers.
   bool standby_copies = true;
-  /// Engines whose room is taken count as slower.
-  bool crowding_price = true;
-  /// An engine that refused gets nothing new for a while.
+  /// Engines whose capacity is in use are costed as slower.
+  bool price_congestion = true;
+  /// An engine that refused a request receives no new ones for a while.
   bool refusal_pauses = true;
-  /// Routers of a large fleet look at two random first engines only.
+  /// Routers of a large fleet consider only two random first engines.
   bool entry_choices = true;
-  /// Loads of peers that fell silent don't count.
-  bool silent_peers = true;
+  /// Loads last reported by unresponsive peers are ignored.
+  bool ignore_unresponsive_peers = true;
 
   friend bool operator==(const Mechanisms&, const Mechanisms&) = default;
 };
 
-/// Mechanisms as switched, and what was wrong with the names.
+/// The selected mechanisms, and the problems found in the names.
 struct ParsedMechanisms {
   Mechanisms mechanisms;
-  /// One text for each name that isn't known, with the list of those that are.
+  /// One text for each unknown name, with the list of the known ones.
   std::vector<std::string> problems;
 };
 
-/// Returns all mechanisms on but for those that \p off names, with commas
-/// between. Thread safety: safe.
+/// Returns all mechanisms enabled except those in \p off, a list separated by
+/// commas.
+/// Thread safety: safe.
 ParsedMechanisms WithoutMechanisms(const std::string& off);
 
 }  // namespace toucanwharf::instance
--- a/include/toucanwharf/instance/metrics.h
+++ b/include/toucanwharf/instance/metrics.h
@@ -10,7 +10,7 @@
 
 namespace toucanwharf::instance {
 
-/// Returns the process's metrics in Prometheus' text format.
+/// Returns the process's metrics in the Prometheus text format.
 /// Thread safety: only on the loop's thread.
 std::string MetricsText(const Gateway& gateway, const InstanceState& state,
                         std::uint64_t log_lines_dropped, TimePoint now);
--- a/include/toucanwharf/instance/peer_link.h
+++ b/include/toucanwharf/instance/peer_link.h
@@ -26,8 +26,8 @@
 
 namespace toucanwharf::instance {
 
-/// Sends beacons to the other instances, takes theirs, and fetches from them
-/// what they have newer.
+/// Exchanges beacons with the other instances, and fetches newer snapshots from
+/// them. Owned by Instance.
 /// Thread safety: only on the loop's thread.
 class PeerLink {
  public:
@@ -39,122 +39,124 @@
            InstanceState& shared_state, eventlog::Logger& log,
            EndpointListLog& list_log, const InstanceSettings& chosen);
 
-  /// Binds the datagram socket and begins to send.
+  /// Binds the datagram socket and starts sending.
   Result<void> Start(OnConfiguration on_configuration,
                      OnEndpoints on_endpoints);
-  /// Learns that an instance has its control address at \p address.
+  /// Adds an instance by its control address.
   void AddInstance(const std::string& control_address);
-  /// Learns of the instances that have registered, by their control addresses.
+  /// Adds the registered instances by their control addresses.
   ///
-  /// Where no leader has named backup leaders, the strongest of them are. All
-  /// processes of a large fleet may have started anew; until a leader is found
-  /// nobody would tell them of loads and proofs, and each would read the store
-  /// for itself.
+  /// If no leader has named backup leaders, the strongest instances become
+  /// them. After all processes of a large fleet have restarted, nobody would
+  /// otherwise announce loads and confirmations until a leader is found, and
+  /// each instance would read the store for itself.
   void AddRegistered(
       const std::vector<gossip::BackupLeaderCandidate>& registered);
-  /// Sends beacons at once, because something changed that others act on.
+  /// Sends beacons immediately, because something changed that peers act on.
   void Announce();
-  /// The same for a change of the configuration or the list of endpoints. In a
-  /// large fleet only the leader does so, which all hear of: if each of 86 told
-  /// all others of every change that it has just learned, a change would cost
-  /// 7,300 messages.
+  /// Announces a change of the configuration or the list of endpoints. In a
+  /// large fleet only the leader does so, whose beacons reach all: if each of
+  /// 86 instances announced every change it learned to all others, a change
+  /// would cost 7,300 messages.
   void AnnounceChange();
-  /// Sends beacons at once to the peers of a large fleet in the own failure
-  /// domain.
+  /// In a large fleet, sends beacons immediately to the peers in this
+  /// instance's failure domain.
   void AnnounceToDomain();
-  /// Tells of an engine that turned out to be silent: everyone in a small
-  /// fleet, in a large one the leader, which tells everyone.
-  void AnnounceSilentEngine();
-  /// Calls \p task with each engine that a peer finds silent.
-  void OnSilentEngine(std::function<void(const std::string&)> task) {
-    this->engine_silent = std::move(task);
+  /// Announces an unresponsive engine: to every peer in a small fleet, and in a
+  /// large one to the leader, which forwards it to all.
+  void AnnounceUnresponsiveEngine();
+  /// Calls \p task with each engine that a peer reports as unresponsive.
+  void OnUnresponsiveEngine(std::function<void(const std::string&)> task) {
+    this->on_unresponsive = std::move(task);
   }
-  /// Answers a peer's request on the control address; false if it is none.
+  /// Handles a peer's request on the control address. Returns false if it is
+  /// not one.
   bool HandlePeer(const std::shared_ptr<http::Exchange>& exchange) {
-    return this->copies.Handle(exchange);
+    return this->snapshots.Handle(exchange);
   }
-  /// Sets the facts to send along while this instance places layers.
-  void SetFacts(std::vector<gossip::EngineStatus> known) {
-    this->facts = std::move(known);
+  /// Sets the engine statuses to send while this instance places layers.
+  void SetEngineStatuses(std::vector<gossip::EngineStatus> known) {
+    this->engine_statuses = std::move(known);
   }
 
  private:
-  /// A peer's clock, as it last told.
+  /// A peer's clock as of its last beacon.
   struct Stamp {
     std::string instance;
-    std::int64_t at = 0;
+    std::int64_t value = 0;
   };
 
-  /// How much a beacon tells.
+  /// Which parts a beacon contains.
   enum class Content {
-    /// What this instance knows of itself.
+    /// This instance's own state.
     kOwn,
-    /// Beside it, from the leader, what it knows of the fleet: most of the
-    /// bytes.
+    /// In addition, from the leader, the state of the fleet, which makes up
+    /// most of the bytes.
     kFleet,
   };
 
   void SendTo(const std::vector<std::string>& addresses, Content content);
-  /// Tells those of \p addresses from \p begin on, a few at a time.
+  /// Sends beacons to \p addresses from index \p begin on, in batches.
   ///
-  /// Load that it answers: what the leader tells 300 instances is over a
-  /// megabyte, and a burst of it is dropped by the leader's link or holds up
-  /// the answers on it.
-  void Tell(std::vector<std::string> addresses, std::size_t begin);
+  /// Load: the leader sends more than a megabyte to 300 instances. In one burst
+  /// it would be dropped by the leader's link or delay the answers on it.
+  void SendInBatches(std::vector<std::string> addresses, std::size_t begin);
   void Tick();
-  gossip::BeaconTargets MakeAudience(TimePoint now) const;
+  gossip::BeaconTargets MakeTargets(TimePoint now) const;
   gossip::Beacon MakeBeacon(TimePoint now) const;
-  void AddFleet(gossip::Beacon& beacon, TimePoint now) const;
-  /// Returns the instances that callers may be sent to, this one included.
+  void AddFleetState(gossip::Beacon& beacon, TimePoint now) const;
+  /// Returns the instances that callers may be directed to, including this one.
   std::vector<std::uint32_t> ReadyInstances(TimePoint now) const;
-  /// Returns the backup leaders that are neither this instance nor \p leader.
+  /// Returns the backup leaders other than this instance and \p leader.
   std::vector<std::string> OtherBackupLeaders(const std::string& leader) const;
-  bool MayKnowNobody(const std::string& address, TimePoint now) const;
-  /// Returns whether this instance tells the others of the fleet: it leads, or
-  /// it is a backup leader and there is no leader.
-  bool SpeaksForFleet(TimePoint now) const;
-  /// Returns whether this instance has led, or been a backup leader, for long
-  /// enough to have heard of all that live.
-  bool HearsAll(TimePoint now) const;
-  void AdoptFleet(const gossip::Beacon& beacon, TimePoint now);
+  bool NeedsIntroduction(const std::string& address, TimePoint now) const;
+  /// Returns whether this instance advertises the state of the fleet: it is the
+  /// leader, or a backup leader while there is no leader.
+  bool ActsForFleet(TimePoint now) const;
+  /// Returns whether this instance has been leader or backup leader for long
+  /// enough to have received a beacon from every live instance.
+  bool HasContactedAll(TimePoint now) const;
+  void ApplyFleetState(const gossip::Beacon& beacon, TimePoint now);
   void SetBackupLeaders(std::vector<std::string> addresses);
   std::string DatagramAddressOf(const std::string& control_address) const;
-  /// Adds up what the peers have under way.
+  /// Sums the loads that the peers report as in flight.
   void SumLoads(TimePoint now);
-  /// Takes what peers prove of the configuration and the list of endpoints.
-  void AdoptProofs(TimePoint now);
-  /// Logs that a beacon of \p size bytes could not be sent, if \p error says
-  /// so.
-  void NoteSend(const std::error_code& error, std::size_t size, TimePoint now);
+  /// Applies the peers' confirmations of the configuration and the list of
+  /// endpoints.
+  void ApplyConfirmations(TimePoint now);
+  /// Logs that a beacon of \p size bytes could not be sent, if \p error is set.
+  void LogSendFailure(const std::error_code& error, std::size_t size,
+                      TimePoint now);
   void OnDatagram(const std::string& sender, std::string_view payload);
-  void AdoptSuspicion(const gossip::Suspicion& one, TimePoint now);
-  void AdoptFrom(const gossip::Beacon& beacon, TimePoint now);
+  void ApplySuspicion(const gossip::Suspicion& suspicion, TimePoint now);
+  void ApplyBeacon(const gossip::Beacon& beacon, TimePoint now);
   void LogPeers(TimePoint now);
 
   http::Loop& loop;
   http::Client& client;
   InstanceState& state;
   eventlog::Logger& logger;
-  EndpointListLog& lists;
+  EndpointListLog& endpoint_log;
   InstanceSettings settings;
   TimePoint started;
   std::unique_ptr<http::DatagramSocket> socket;
-  SnapshotExchange copies;
-  std::function<void(const std::string&)> engine_silent;
-  std::vector<gossip::EngineStatus> facts;
-  gossip::BeaconSchedule rotation;
-  /// The endpoints that this instance, if it is a coordinator, tells of now.
+  SnapshotExchange snapshots;
+  std::function<void(const std::string&)> on_unresponsive;
+  std::vector<gossip::EngineStatus> engine_statuses;
+  gossip::BeaconSchedule schedule;
+  /// The endpoints that this instance advertises in this round, if it is a
+  /// coordinator.
   gossip::KeyRanges ranges;
-  gossip::KeyRange about;
-  /// What the leader has told of them.
+  gossip::KeyRange covered_keys;
+  /// What the leader has reported of the fleet's loads.
   gossip::FleetLoads fleet_loads;
   TimePoint send_failure_logged{Duration(-1'000'000'000)};
   /// Newest stamp by datagram address.
   std::map<std::string, Stamp> stamps;
-  std::set<std::string> live_before;
-  /// Since when this instance leads or is a backup leader.
+  std::set<std::string> previously_live;
+  /// Since when this instance is leader or backup leader.
   std::optional<TimePoint> coordinator_since;
-  /// Whether an announcement waits for its turn.
+  /// Whether an announcement is scheduled.
   bool announcing = false;
   Random random;
 };
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -25,34 +25,33 @@
 
 namespace toucanwharf::instance {
 
-/// Times of the placement, with the reason of each.
+/// Periods and timeouts of the placement.
 struct PlacementTimes {
-  /// Between looks at the engines that are not as wanted.
-  Duration step = std::chrono::milliseconds(200);
-  /// Between reports of engines that are as wanted: their speed is all that
+  /// Between checks of engines that do not hold their target layers.
+  Duration step_period = std::chrono::milliseconds(200);
+  /// Between reports of engines that hold their target layers: only their speed
   /// may have changed, and each report costs a request.
-  Duration watch_period = std::chrono::milliseconds(2000);
-  /// The same in a large fleet, where reports also tell of the load that
-  /// instances cause which can't be heard: 93 reports a second for 93 engines.
-  Duration watch_period_large = std::chrono::milliseconds(1000);
+  Duration report_period = std::chrono::milliseconds(2000);
+  /// The same in a large fleet, where reports also show the load from instances
+  /// whose beacons are not received: 93 reports a second for 93 engines.
+  Duration report_period_large = std::chrono::milliseconds(1000);
   Duration call_timeout = std::chrono::milliseconds(500);
-  /// A report comes in a millisecond, or after one packet that is sent again.
+  /// A report arrives within a millisecond, or after one retransmitted packet.
   Duration report_timeout = std::chrono::milliseconds(300);
-  /// An engine without a report gets nothing new for this long, from any
-  /// instance; it is asked again sooner than that.
+  /// No instance sends new work to an engine for this long after it failed to
+  /// report; the next report is requested sooner than that.
   Duration unanswered_pause = std::chrono::milliseconds(1500);
-  /// After a call on the lease without an answer.
+  /// After a lease call without an answer.
   Duration lease_pause = std::chrono::milliseconds(600);
-  /// The same for each instance of a large fleet: all of them together ask
-  /// forty times a second.
-  Duration lease_turn = std::chrono::milliseconds(25);
-  /// What a report told goes before the store's list for so long.
-  Duration facts_for = std::chrono::seconds(3);
+  /// Per instance of a large fleet: all together make forty calls a second.
+  Duration lease_pause_per_instance = std::chrono::milliseconds(25);
+  /// For this long a report takes precedence over the store's list.
+  Duration status_lifetime = std::chrono::seconds(3);
 };
 
-/// Takes the placement lease, and while it holds it tells engines which layers
-/// to hold. Any instance may hold it; another takes over when its holder is
-/// gone, so no machine is set aside.
+/// Acquires the placement lease, and while holding it orders engines to hold
+/// layers. Any instance may hold the lease; another takes over when its holder
+/// is lost, so no machine is dedicated to placement. Owned by Instance.
 /// Thread safety: only on the loop's thread.
 template <Adapter A>
 class PlacementDriver {
@@ -74,16 +73,16 @@
         callers_address(chosen.callers_address),
         datagram_address(chosen.datagram_address),
         election_policy(chosen.processor_share, event_loop.Now()),
-        lease(LeaseTerms(shared_state.instance),
+        lease(MakeLeaseSettings(shared_state.instance),
               HashText(shared_state.instance)) {
     this->layout_settings.standby_copies = chosen.mechanisms.standby_copies;
   }
 
   void Start() {
-    this->loop.Every(this->times.step, [this] { this->Step(); });
+    this->loop.Every(this->times.step_period, [this] { this->Step(); });
   }
 
-  /// Gives the lease back, so that another instance goes on at once.
+  /// Releases the lease, so that another instance takes over immediately.
   void Release() {
     this->lease.Release();
     this->state.leads = false;
@@ -91,19 +90,19 @@
   }
 
  private:
-  struct Known {
+  struct ReportState {
     std::uint64_t start_time_ms = 0;
-    bool asking = false;
+    bool report_in_flight = false;
     int failed_reports = 0;
-    TimePoint asked{Duration(-1'000'000'000)};
+    TimePoint requested_at{Duration(-1'000'000'000)};
   };
 
-  static control::LeaseSettings LeaseTerms(const std::string& holder) {
+  static control::LeaseSettings MakeLeaseSettings(const std::string& holder) {
     control::LeaseSettings settings;
     settings.role = "placement";
     settings.holder = holder;
-    // An engine that died is replaced by its cover's next layout, which must
-    // come within seconds also when the placing instance died with it.
+    // The cover of an engine that died gets its layers by the next layout,
+    // which must come within seconds also if the leader died with the engine.
     settings.term = std::chrono::milliseconds(3000);
     settings.margin = std::chrono::milliseconds(300);
     settings.renewal = std::chrono::milliseconds(1200);
@@ -113,24 +112,24 @@
   void Step() {
     this->PollLease();
     const TimePoint now = this->loop.Now();
-    this->NoteLeadership(this->lease.MayAct(now), now);
-    if (!this->state.table) return;
+    this->UpdateLeadership(this->lease.MayAct(now), now);
+    if (!this->state.route_table) return;
     if (this->state.leads) {
       this->Plan(now);
-      this->AskReports(now);
+      this->RequestReports(now);
       this->GiveOrders(now);
-      this->ShareFacts();
+      this->ShareEngineStatuses();
     } else {
       this->ActForLeader(now);
     }
   }
 
-  /// Asks engines for their reports while nobody leads. Only whoever holds the
-  /// lease may give orders; what engines say of themselves is wanted sooner.
+  /// Requests engines' reports while there is no leader. Only the holder of the
+  /// lease may send orders, but the reports are needed sooner.
   ///
-  /// Load that it answers: all instances lost power, and the engines go on with
-  /// answers that nobody waits for. Until their reports were known, new answers
-  /// went to full engines for the five seconds that the old lease lasts.
+  /// Load: after all instances lost power, the engines continue with answers
+  /// that nobody waits for. Without their reports, new answers would go to full
+  /// engines for the five seconds until the old lease expires.
   void ActForLeader(TimePoint now) {
     const bool acts =
         this->state.is_backup_leader && this->state.peers.IsLargeFleet(now) &&
@@ -139,42 +138,44 @@
     if (!acts) {
       if (this->engines.empty()) return;
       this->engines.clear();
-      this->peers.SetFacts({});
+      this->peers.SetEngineStatuses({});
       return;
     }
-    for (const routes::Service& service : this->state.table->All().services) {
+    for (const routes::Service& service :
+         this->state.route_table->All().services) {
       if (!service.engine || service.engine->layers == 0) continue;
       this->state.endpoints.ForEachReady(
           service.name, [this](const endpoints::Endpoint& endpoint) {
-            this->KnowLifeOf(endpoint);
+            this->ResetIfRestarted(endpoint);
           });
     }
-    this->AskReports(now);
-    this->ShareFacts();
+    this->RequestReports(now);
+    this->ShareEngineStatuses();
   }
 
-  void NoteLeadership(bool leads, TimePoint now) {
+  void UpdateLeadership(bool leads, TimePoint now) {
     if (std::exchange(this->state.leads, leads) == leads) return;
     this->logger.Write(
         eventlog::Level::kNotable, leads ? "lease_gained" : "lease_lost",
         eventlog::Fields().Count(
             "fence", static_cast<std::int64_t>(this->lease.Fence())),
         now);
-    this->book = placement::OrderTracker();
+    this->order_tracker = placement::OrderTracker();
     this->engines.clear();
     this->plans.clear();
-    this->peers.SetFacts({});
+    this->peers.SetEngineStatuses({});
     this->peers.Announce();
   }
 
-  /// Another holder that is heard of makes looking at the lease needless.
+  /// A known leader makes it unnecessary to poll the lease.
   bool AnotherLeads(TimePoint now) const {
     return !this->state.peers.Leader(now).empty();
   }
 
-  /// The backup leaders, which have heard what the leader heard, go first, and
-  /// the others seconds later.
-  std::size_t Ahead(TimePoint now) const {
+  /// Returns how many instances attempt the lease before this one. The backup
+  /// leaders go first, since they receive the same beacons as the leader; the
+  /// others follow seconds later.
+  std::size_t CandidatesAhead(TimePoint now) const {
     constexpr std::size_t kBehindBackupLeaders = 24;
     const std::size_t ahead = this->state.peers.CandidatesAhead(
         this->processor_share, this->callers_address, now);
@@ -184,53 +185,58 @@
 
   void PollLease() {
     const TimePoint now = this->loop.Now();
-    // A backup leader looks at the lease all the time: a challenger has to see
-    // it unchanged for a whole term, and that time is over then.
-    const bool turn = this->state.is_backup_leader ||
-                      this->election_policy.MayAttempt(!this->AnotherLeads(now),
-                                                       this->Ahead(now), now);
-    // A lease that is given back must be, whoever else leads by now.
+    // A backup leader polls the lease continuously: a challenger has to see it
+    // unchanged for a whole term, and has then already done so when the leader
+    // is lost.
+    const bool may_attempt =
+        this->state.is_backup_leader ||
+        this->election_policy.MayAttempt(!this->AnotherLeads(now),
+                                         this->CandidatesAhead(now), now);
+    // The release of a lease must complete, whoever else leads by now.
     const bool stopping = this->state.stopping_since.has_value();
-    if (!this->state.leads && !turn && !stopping) return;
+    if (!this->state.leads && !may_attempt && !stopping) return;
     if (now < this->lease_pause_until) return;
     auto call = this->lease.Poll(now);
     if (!call) return;
     if (const auto* key = std::get_if<store::ObjectKey>(&*call)) {
       this->store.Read(*key, [this](const store::ReadAnswer& answer) {
-        this->NoteLeaseAnswer(answer.status != store::ReadStatus::kUnknown);
+        this->RecordLeaseAnswer(answer.status != store::ReadStatus::kUnknown);
         this->lease.OnRead(answer, this->loop.Now());
         this->PollLease();
       });
       return;
     }
-    this->store.Write(
-        std::get<store::Write>(*call),
-        [this](const store::WriteAnswer& answer) {
-          this->NoteLeaseAnswer(answer.status != store::WriteStatus::kUnknown);
-          this->lease.OnWrite(answer, this->loop.Now());
-          if (answer.status != store::WriteStatus::kWritten) {
-            this->PollLease();
-          }
-        });
+    this->store.Write(std::get<store::Write>(*call),
+                      [this](const store::WriteAnswer& answer) {
+                        this->RecordLeaseAnswer(answer.status !=
+                                                store::WriteStatus::kUnknown);
+                        this->lease.OnWrite(answer, this->loop.Now());
+                        if (answer.status != store::WriteStatus::kWritten) {
+                          this->PollLease();
+                        }
+                      });
   }
 
-  /// A store that is away refuses in a millisecond; asking again at once would
-  /// be thousands of calls in an outage, from every instance that would lead.
-  void NoteLeaseAnswer(bool answered) {
+  /// An unavailable store refuses within a millisecond; retrying immediately
+  /// would cause thousands of calls in an outage, from every instance that
+  /// attempts to lead.
+  void RecordLeaseAnswer(bool answered) {
     if (answered) return;
     const TimePoint now = this->loop.Now();
     const gossip::PeerTable& known = this->state.peers;
-    const bool one_of_many =
+    const bool shares_attempts =
         known.IsLargeFleet(now) && !this->state.is_backup_leader;
     const Duration pause =
-        one_of_many ? this->times.lease_turn *
-                          static_cast<std::int64_t>(known.InstanceCount(now))
-                    : this->times.lease_pause;
+        shares_attempts
+            ? this->times.lease_pause_per_instance *
+                  static_cast<std::int64_t>(known.InstanceCount(now))
+            : this->times.lease_pause;
     this->lease_pause_until = now + std::max(pause, this->times.lease_pause);
   }
 
   void Plan(TimePoint now) {
-    for (const routes::Service& service : this->state.table->All().services) {
+    for (const routes::Service& service :
+         this->state.route_table->All().services) {
       if (!service.engine || service.engine->layers == 0) continue;
       this->PlanService(service, now);
     }
@@ -240,11 +246,12 @@
     std::vector<placement::Accelerator> fleet;
     this->state.endpoints.ForEachReady(
         service.name, [&](const endpoints::Endpoint& endpoint) {
-          if (this->Lost(endpoint)) return;
-          placement::Accelerator one{endpoint.id, endpoint.failure_domain,
-                                     endpoint.kind, endpoint.layers};
-          this->TakeNewest(endpoint, one);
-          fleet.push_back(std::move(one));
+          if (this->IsLost(endpoint)) return;
+          placement::Accelerator accelerator{endpoint.id,
+                                             endpoint.failure_domain,
+                                             endpoint.kind, endpoint.layers};
+          this->ApplyNewestLayers(endpoint, accelerator);
+          fleet.push_back(std::move(accelerator));
         });
     ServicePlan& plan = this->plans[service.name];
     if (!plan.settling.IsStable(fleet, now)) return;
@@ -262,69 +269,72 @@
             .Count("used", static_cast<std::int64_t>(layout.size())),
         now);
     placement::Layout all;
-    for (const auto& [name, each] : this->plans) {
-      all.insert(each.layout.begin(), each.layout.end());
+    for (const auto& [name, planned] : this->plans) {
+      all.insert(planned.layout.begin(), planned.layout.end());
     }
-    this->book.SetTargetLayout(std::move(all));
+    this->order_tracker.SetTargetLayout(std::move(all));
   }
 
-  /// Returns whether \p endpoint has not answered for some reports. Its entry
-  /// in the store stays for seconds after it died. A refusal by a busy engine,
-  /// or a single lost packet, must not move layers.
-  bool Lost(const endpoints::Endpoint& endpoint) const {
+  /// Returns whether \p endpoint has failed to answer several reports in a row.
+  /// Its entry in the store remains for seconds after it died. A refusal by a
+  /// busy engine, or a single lost packet, must not move layers.
+  bool IsLost(const endpoints::Endpoint& endpoint) const {
     const auto known = this->engines.find(endpoint.id);
     return known != this->engines.end() &&
            known->second.start_time_ms == endpoint.start_time_ms &&
            known->second.failed_reports >= kLostAfter;
   }
 
-  /// Forgets what was known of an earlier life of \p endpoint.
-  void KnowLifeOf(const endpoints::Endpoint& endpoint) {
-    Known& known = this->engines[endpoint.id];
+  /// Discards what was recorded for an earlier start of \p endpoint.
+  void ResetIfRestarted(const endpoints::Endpoint& endpoint) {
+    ReportState& known = this->engines[endpoint.id];
     if (known.start_time_ms == endpoint.start_time_ms) return;
-    known = Known{};
+    known = ReportState{};
     known.start_time_ms = endpoint.start_time_ms;
-    this->book.Forget(endpoint.id);
+    this->order_tracker.Forget(endpoint.id);
   }
 
-  /// Replaces what the store lists by what was ordered or reported since.
-  void TakeNewest(const endpoints::Endpoint& endpoint,
-                  placement::Accelerator& one) {
-    this->KnowLifeOf(endpoint);
-    const auto wanted = this->book.TargetLayout().find(endpoint.id);
-    if (wanted != this->book.TargetLayout().end()) {
-      one.layers = wanted->second;
+  /// Replaces the layers that the store lists by those ordered or reported
+  /// since.
+  void ApplyNewestLayers(const endpoints::Endpoint& endpoint,
+                         placement::Accelerator& accelerator) {
+    this->ResetIfRestarted(endpoint);
+    const auto target = this->order_tracker.TargetLayout().find(endpoint.id);
+    if (target != this->order_tracker.TargetLayout().end()) {
+      accelerator.layers = target->second;
       return;
     }
-    const placement::EngineReport* report = this->book.Report(endpoint.id);
-    if (report != nullptr) one.layers = report->layers;
+    const placement::EngineReport* report =
+        this->order_tracker.Report(endpoint.id);
+    if (report != nullptr) accelerator.layers = report->layers;
   }
 
-  /// What was planned for the engines of one service.
+  /// The plan for the engines of one service.
   struct ServicePlan {
     std::vector<placement::Accelerator> planned_for;
     placement::Layout layout;
     placement::StabilizationWindow settling;
   };
 
-  void AskReports(TimePoint now) {
+  void RequestReports(TimePoint now) {
     const Duration period = this->state.peers.IsLargeFleet(now)
-                                ? this->times.watch_period_large
-                                : this->times.watch_period;
+                                ? this->times.report_period_large
+                                : this->times.report_period;
     for (auto& [id, known] : this->engines) {
       const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
-      if (endpoint == nullptr || known.asking) continue;
-      const bool due = this->book.NeedsReport(id) || known.failed_reports > 0 ||
+      if (endpoint == nullptr || known.report_in_flight) continue;
+      const bool due = this->order_tracker.NeedsReport(id) ||
+                       known.failed_reports > 0 ||
                        this->state.loads.IsSuspected(id, now) ||
-                       now - known.asked >= period;
-      if (due) this->AskReport(*endpoint, now);
+                       now - known.requested_at >= period;
+      if (due) this->RequestReport(*endpoint, now);
     }
   }
 
-  void AskReport(const endpoints::Endpoint& endpoint, TimePoint now) {
-    Known& known = this->engines[endpoint.id];
-    known.asking = true;
-    known.asked = now;
+  void RequestReport(const endpoints::Endpoint& endpoint, TimePoint now) {
+    ReportState& known = this->engines[endpoint.id];
+    known.report_in_flight = true;
+    known.requested_at = now;
     http::Fetch(this->loop, this->client, endpoint.address, A::ReportRequest(),
                 this->times.report_timeout,
                 [this, id = endpoint.id, now](const http::CallResult& result,
@@ -334,16 +344,16 @@
                 });
   }
 
-  void OnReport(const std::string& id, TimePoint asked,
+  void OnReport(const std::string& id, TimePoint requested_at,
                 const http::CallResult& result, const http::ResponseHead& head,
                 const std::string& body) {
     const auto found = this->engines.find(id);
     if (found == this->engines.end()) return;
-    Known& known = found->second;
-    known.asking = false;
+    ReportState& known = found->second;
+    known.report_in_flight = false;
     if (result.end != http::CallEnd::kComplete || head.status != http::kOk) {
       ++known.failed_reports;
-      this->SuspectSilent(id, known);
+      this->SuspectUnresponsive(id, known);
       return;
     }
     known.failed_reports = 0;
@@ -355,43 +365,44 @@
                          this->loop.Now());
       return;
     }
-    // Another endpoint may have got the address, or this one started anew.
+    // Another endpoint may have taken the address, or this one restarted.
     if (report->start_time_ms != 0 &&
         report->start_time_ms != known.start_time_ms)
       return;
-    this->book.OnReport(id, report->engine, asked);
+    this->order_tracker.OnReport(id, report->engine, requested_at);
     const TimePoint now = this->loop.Now();
-    // In a small fleet every answer is known sooner than a report tells of it,
-    // and a report of a moment ago would hold back room that is free by now.
-    const double held =
+    // In a small fleet the end of each answer is known before a report shows
+    // it, and a report from a moment ago would occupy capacity that is free by
+    // now.
+    const double token_layers =
         this->state.peers.IsLargeFleet(now) ? report->engine.token_layers : 0;
     this->state.loads.SetEngineStatus(
         {id, known.start_time_ms, report->engine.layers,
-         report->engine.slowdown, held},
-        now + this->times.facts_for);
+         report->engine.slowdown, token_layers},
+        now + this->times.status_lifetime);
   }
 
-  /// Tells all instances of an engine that gives no reports. One report may be
-  /// lost; a second in a row, or one right after an instance was refused, is
-  /// taken as a sign.
-  void SuspectSilent(const std::string& id, const Known& known) {
-    constexpr int kSure = 2;
+  /// Announces to all instances an engine that gives no reports. One report may
+  /// be lost; a second in a row, or one right after an instance was refused,
+  /// counts as evidence.
+  void SuspectUnresponsive(const std::string& id, const ReportState& known) {
+    constexpr int kFailuresAsEvidence = 2;
     const TimePoint now = this->loop.Now();
-    const bool doubted = this->state.loads.IsSuspected(id, now);
-    if (known.failed_reports < kSure && !doubted) return;
-    const bool news = this->state.loads.MarkUnresponsive(
+    const bool suspected = this->state.loads.IsSuspected(id, now);
+    if (known.failed_reports < kFailuresAsEvidence && !suspected) return;
+    const bool newly_found = this->state.loads.MarkUnresponsive(
         id, now + this->times.unanswered_pause, now);
-    if (news) this->peers.AnnounceSilentEngine();
+    if (newly_found) this->peers.AnnounceUnresponsiveEngine();
   }
 
   void GiveOrders(TimePoint now) {
-    for (const auto& [id, layers] : this->book.TargetLayout()) {
+    for (const auto& [id, layers] : this->order_tracker.TargetLayout()) {
       const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr) continue;
-      // Asked right before the send: a holder that was suspended must not act
-      // on a lease that another has by now.
+      // Checked right before the send: a holder that was suspended must not act
+      // on a lease that another holds by now.
       if (!this->lease.MayAct(this->loop.Now())) return;
-      const auto order = this->book.Next(id, now);
+      const auto order = this->order_tracker.Next(id, now);
       if (order) this->SendOrder(*endpoint, *order);
     }
   }
@@ -423,7 +434,7 @@
     } else if (result.end == http::CallEnd::kComplete) {
       end = A::ToOrderEnd(head.status);
     }
-    this->book.OnOutcome(id, end, this->loop.Now());
+    this->order_tracker.OnOutcome(id, end, this->loop.Now());
     if (end == placement::OrderOutcome::kAccepted) return;
     this->logger.Write(
         eventlog::Level::kNotable, "order_not_accepted",
@@ -431,19 +442,19 @@
         this->loop.Now());
   }
 
-  void ShareFacts() {
-    std::vector<gossip::EngineStatus> facts;
+  void ShareEngineStatuses() {
+    std::vector<gossip::EngineStatus> engine_statuses;
     for (const auto& [id, known] : this->engines) {
       const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr) continue;
-      const gossip::EngineStatus* fact =
+      const gossip::EngineStatus* status =
           this->state.loads.FindEngineStatus(*endpoint, this->loop.Now());
-      if (fact != nullptr) facts.push_back(*fact);
+      if (status != nullptr) engine_statuses.push_back(*status);
     }
-    this->peers.SetFacts(std::move(facts));
+    this->peers.SetEngineStatuses(std::move(engine_statuses));
   }
 
-  /// Reports in a row without an answer that make an engine count as lost.
+  /// Failed reports in a row after which an engine counts as lost.
   static constexpr int kLostAfter = 3;
 
   http::Loop& loop;
@@ -460,8 +471,8 @@
   gossip::ElectionPolicy election_policy;
   control::Lease lease;
   TimePoint lease_pause_until;
-  placement::OrderTracker book;
-  std::map<std::string, Known> engines;
+  placement::OrderTracker order_tracker;
+  std::map<std::string, ReportState> engines;
   /// By service.
   std::map<std::string, ServicePlan> plans;
 };
--- a/include/toucanwharf/instance/registration.h
+++ b/include/toucanwharf/instance/registration.h
@@ -8,13 +8,13 @@
 
 namespace toucanwharf::instance {
 
-/// What an instance writes of itself to the store, for those that start later:
-/// its control address, failure domain and part of a core.
+/// What an instance writes to the store, for those that start later: its
+/// control address, failure domain and share of a core.
 using Registration = gossip::BackupLeaderCandidate;
 
-/// Returns \p registration as text. Thread safety: safe.
+/// Serializes \p registration. Thread safety: safe.
 std::string ToText(const Registration& registration);
-/// The way back; nothing for a text that is no registration.
+/// Parses a registration; returns nothing for any other text.
 /// Thread safety: safe.
 std::optional<Registration> RegistrationFromText(const std::string& text);
 
--- a/include/toucanwharf/instance/settings.h
+++ b/include/toucanwharf/instance/settings.h
@@ -10,28 +10,28 @@
 #include "toucanwharf/support/clock.h"
 
 /// One router process in front of endpoints that register in a store: it
-/// passes requests on, tells callers where to connect, and places layers.
+/// proxies requests, tells callers where to connect, and places layers.
 namespace toucanwharf::instance {
 
-/// Bounds that the deployment promises to keep.
+/// Bounds that the deployment guarantees.
 struct Bounds {
-  /// A key that was taken away runs nothing after this long.
+  /// A revoked key runs nothing after this long.
   Duration revocation{std::chrono::seconds(5)};
-  /// Whether that holds also while the store can't be reached.
+  /// Whether that also holds while the store is unreachable.
   bool strict_revocation = true;
   /// A new configuration is in force after this long.
   Duration configuration{std::chrono::seconds(2)};
-  /// A draining endpoint gets nothing new after this long.
+  /// A draining endpoint receives no new requests after this long.
   Duration drain{std::chrono::seconds(2)};
-  /// From the signal to stop to the kill.
+  /// Time from the signal to stop until the kill.
   Duration grace{std::chrono::seconds(8)};
-  /// Longest time that entry advice may be kept.
+  /// Maximum time that callers may cache entry advice.
   Duration advice{std::chrono::seconds(5)};
 
   friend bool operator==(const Bounds&, const Bounds&) = default;
 };
 
-/// What a process is told at its start.
+/// Settings of a process, read at its start.
 struct InstanceSettings {
   std::string name;
   std::string failure_domain;
@@ -41,12 +41,12 @@
   std::string control_address;
   std::string directory_address;
   std::string datagram_address;
-  /// Control addresses of some instances; may be stale.
+  /// Control addresses of some instances; may be outdated.
   std::vector<std::string> seeds;
   std::string store_address;
-  /// Between two writes of an endpoint to its entry in the store.
+  /// Period at which an endpoint rewrites its entry in the store.
   Duration endpoint_heartbeat{std::chrono::milliseconds(1200)};
-  /// Part of a core that the process may use.
+  /// Share of a core that the process may use.
   double processor_share = 1;
   Bounds bounds;
   attempts::ArrivalBudgetSettings budget;
@@ -59,23 +59,23 @@
 /// Names of the header fields that callers, endpoints and the router use.
 struct HeaderNames {
   std::string request_id;
-  /// Milliseconds that are left.
+  /// Remaining time in milliseconds.
   std::string deadline;
-  /// Prompt tokens and most output tokens, with a comma between.
+  /// Prompt tokens and maximum output tokens, separated by a comma.
   std::string token_counts;
-  /// A caller's guess at the output tokens.
+  /// A caller's estimate of the output tokens.
   std::string length_hint;
   std::string customer;
-  /// Id of the endpoint that the request is meant for.
+  /// Id of the endpoint that the request is intended for.
   std::string expected_endpoint;
   /// Set by an endpoint that did not run the request.
   std::string not_run;
-  /// Address of the endpoint at fault in a refusal.
+  /// Address of the endpoint that caused a refusal.
   std::string at_fault;
   /// The endpoints of a path.
   std::string path;
   std::string authorization;
-  /// Word before the key in the authorization.
+  /// Scheme name before the key in the authorization.
   std::string key_scheme;
   std::string last_event_id;
 
--- a/include/toucanwharf/instance/snapshot_exchange.h
+++ b/include/toucanwharf/instance/snapshot_exchange.h
@@ -19,24 +19,25 @@
 
 namespace toucanwharf::instance {
 
-/// Hands the configuration and the list of endpoints to peers, and fetches from
-/// them what they have newer.
+/// Serves snapshots of the configuration and the list of endpoints to peers,
+/// and fetches newer ones from them. Owned by PeerLink.
 ///
-/// Load that it answers: a configuration of 1,240 routes has 290 KB, and 295
-/// instances hear of it from the leader within a quarter of a second. If all
-/// fetched it there, its link would be full for seconds: their fetches time out
-/// and begin anew, the leader's own reads of the store fail behind them, and
-/// the list of endpoints doesn't come through either, so that endpoints that
-/// have left go on getting requests (I5, I7). So copies are deflated; an
-/// instance hands out a few at a time and turns others away at once; and these
-/// find one that has a copy by now, in their own failure domain if they can.
+/// Load: a configuration of 1,240 routes has 290 KB, and the leader's beacons
+/// announce it to 295 instances within a quarter of a second. If all fetched it
+/// from the leader, its link would be saturated for seconds: fetches would time
+/// out and restart, the leader's own store reads would fail behind them, and
+/// the list of endpoints would not get through either, so that endpoints that
+/// have departed would still receive requests (I5, I7). Therefore snapshots are
+/// deflated; an instance sends only a few concurrently and refuses further
+/// requests immediately; and the refused ones choose a peer that has the
+/// snapshot by then, in their own failure domain if possible.
 /// Thread safety: only on the loop's thread.
 class SnapshotExchange {
  public:
   /// Called with the store's revision and the text of a newer configuration.
   using OnConfiguration =
       std::function<void(std::uint64_t revision, const std::string& text)>;
-  /// Called after the list of endpoints has changed.
+  /// Called after a change of the list of endpoints.
   using OnEndpoints = std::function<void()>;
 
   /// Precondition: all references outlive the object.
@@ -44,85 +45,85 @@
                    InstanceState& shared_state, eventlog::Logger& log,
                    EndpointListLog& list_log, std::string own_failure_domain);
 
-  /// Sets whom to tell. Precondition: called before all others.
+  /// Sets the callbacks. Precondition: called before all other functions.
   void Start(OnConfiguration on_configuration, OnEndpoints on_endpoints);
-  /// Fetches what the sender of \p beacon has newer.
+  /// Fetches the snapshots that are newer at the sender of \p beacon.
   void FetchNewer(const gossip::Beacon& beacon);
-  /// Answers a peer's request; false if it is for nothing of this.
+  /// Handles a peer's request. Returns false if it is for no snapshot.
   bool Handle(const std::shared_ptr<http::Exchange>& exchange);
 
  private:
   enum class Kind { kConfiguration, kEndpoints };
 
-  /// What is fetched, and who told of it.
-  struct Wanted {
+  /// A snapshot to fetch, and the peer that announced it.
+  struct WantedSnapshot {
     Kind kind = Kind::kConfiguration;
     std::uint64_t revision = 0;
     /// Control address.
-    std::string teller;
-    int tries = 0;
+    std::string announcer;
+    int attempts = 0;
   };
 
-  /// What is handed out of one kind.
-  struct Copy {
+  /// The snapshot of one kind that is served to peers.
+  struct Snapshot {
     std::string text;
     std::string deflated;
     std::uint64_t revision = 0;
-    /// How many endpoints it says are kept, and for how much longer.
-    std::size_t kept = 0;
+    /// Number of retained endpoints in it, whose remaining time it states.
+    std::size_t retained = 0;
   };
 
   static std::string PathOf(Kind kind);
   static std::uint64_t RevisionIn(const gossip::Beacon& beacon, Kind kind);
-  /// Returns the revision that is known here.
-  std::uint64_t KnownHere(Kind kind) const;
+  /// Returns the revision that this instance has.
+  std::uint64_t LocalRevision(Kind kind) const;
   bool& Fetching(Kind kind) {
     return kind == Kind::kConfiguration ? this->fetching_configuration
                                         : this->fetching_endpoints;
   }
-  void FetchAfter(Duration delay, const Wanted& wanted);
-  void Fetch(const Wanted& wanted);
-  /// Ends the fetch of \p wanted from \p source, or tries anew soon. \p status
-  /// is 0 for no whole answer.
-  void OnFetched(Wanted wanted, const std::string& source, int status,
+  void FetchAfter(Duration delay, const WantedSnapshot& wanted);
+  void Fetch(const WantedSnapshot& wanted);
+  /// Completes the fetch of \p wanted from \p source, or schedules a retry.
+  /// \p status is 0 for an incomplete answer.
+  void OnFetched(WantedSnapshot wanted, const std::string& source, int status,
                  const http::ResponseHead& head, const std::string& body);
-  /// Puts what came into use; false if it is no copy.
-  bool Take(Kind kind, const http::ResponseHead& head, const std::string& body);
-  bool TakeEndpoints(const std::string& text);
-  /// Returns an instance that has what is wanted: one in the own failure domain
-  /// if there is, else the one that told of it.
-  std::string SourceOf(const Wanted& wanted, TimePoint now);
-  /// Returns a time of up to \p most, drawn at random.
-  Duration UpTo(Duration most);
-  /// Returns whether there is anything to hand out.
+  /// Applies a fetched snapshot; false if it is malformed.
+  bool Apply(Kind kind, const http::ResponseHead& head,
+             const std::string& body);
+  bool ApplyEndpoints(const std::string& text);
+  /// Returns a peer that has the wanted snapshot: one in this instance's
+  /// failure domain if there is any, else the one that announced it.
+  std::string ChooseSource(const WantedSnapshot& wanted, TimePoint now);
+  /// Returns a random duration of up to \p max.
+  Duration RandomDelay(Duration max);
+  /// Returns whether there is a snapshot to serve.
   bool Has(Kind kind) const;
-  /// Returns what is handed out, as it is now.
-  const Copy& Renewed(Kind kind);
-  /// Returns whether as many copies are under way as may be.
-  bool Busy();
+  /// Returns the snapshot to serve, updated if it is outdated.
+  const Snapshot& CurrentSnapshot(Kind kind);
+  /// Returns whether the maximum number of snapshots is being sent.
+  bool AtSendLimit();
 
   http::Loop& loop;
   http::Client& client;
   InstanceState& state;
   eventlog::Logger& logger;
-  EndpointListLog& lists;
+  EndpointListLog& endpoint_log;
   std::string failure_domain;
-  OnConfiguration take_configuration;
+  OnConfiguration apply_configuration;
   OnEndpoints endpoints_changed;
   Random random;
-  /// Whether a fetch runs, or waits for its turn.
+  /// Whether a fetch is in progress or scheduled.
   bool fetching_configuration = false;
   bool fetching_endpoints = false;
-  Copy configuration;
-  Copy endpoints;
-  /// Answers that peers may still be reading.
-  std::vector<std::shared_ptr<http::Exchange>> handing_out;
+  Snapshot configuration;
+  Snapshot endpoints;
+  /// Answers that may not have been sent completely.
+  std::vector<std::shared_ptr<http::Exchange>> being_sent;
 };
 
-/// Returns \p list as text, for one instance to hand to another.
-/// Thread safety: safe.
+/// Serializes \p list for another instance. Thread safety: safe.
 std::string EndpointsToText(const endpoints::EndpointListSnapshot& list);
-/// The way back; nothing for a text that is no such list. Thread safety: safe.
+/// Parses a list; returns nothing for any other text. Thread safety: safe.
 std::optional<endpoints::EndpointListSnapshot> EndpointsFromText(
     const std::string& text);
 
--- a/lib/instance/endpoint_list_log.cc
+++ b/lib/instance/endpoint_list_log.cc
@@ -23,16 +23,17 @@
 void EndpointListLog::OnList(const endpoints::EndpointTable& table,
                              ListCause cause, bool changed,
                              std::int64_t unreadable, TimePoint now) {
-  const std::size_t kept = table.RetainedCount();
-  const bool as_before = std::exchange(this->kept_before, kept) == kept;
-  if (!changed && as_before) return;
+  const std::size_t retained = table.RetainedCount();
+  const bool same_count =
+      std::exchange(this->retained_before, retained) == retained;
+  if (!changed && same_count) return;
   this->logger.Write(
       eventlog::Level::kNotable, "endpoints_changed",
       eventlog::Fields()
           .Text("cause", NameOf(cause))
           .Count("revision", static_cast<std::int64_t>(table.Revision()))
           .Count("endpoints", static_cast<std::int64_t>(table.All().size()))
-          .Count("kept", static_cast<std::int64_t>(kept))
+          .Count("kept", static_cast<std::int64_t>(retained))
           .Count("unreadable", unreadable),
       now);
 }
--- a/lib/instance/engine_probe.cc
+++ b/lib/instance/engine_probe.cc
@@ -5,123 +5,124 @@
 namespace toucanwharf::instance {
 namespace {
 
-/// An engine answers in a millisecond or two. Without an answer it is asked
-/// once more on a fresh connection: the first packet may have been lost, or the
-/// kept connection gone silent.
-constexpr Duration kSecondAfter = std::chrono::milliseconds(12);
-/// Without an answer to the second question either the engine is silent.
-constexpr Duration kSilentAfter = std::chrono::milliseconds(35);
-/// Added to both for each further instance that asks at the same moment: what
-/// it takes an engine to accept a connection.
-constexpr Duration kForEachAsker = std::chrono::microseconds(1000);
-/// A timer that fires so late shows that this process itself stood still, and
-/// that the answers may lie unread.
-constexpr Duration kLateTimer = std::chrono::milliseconds(15);
-/// Answers older than this serve nobody any more.
-constexpr Duration kForgetAfter = std::chrono::seconds(10);
+/// An engine answers in a millisecond or two. Without an answer the call is
+/// repeated on a new connection: the first packet may have been lost, or the
+/// reused connection broken.
+constexpr Duration kRepeatAfter = std::chrono::milliseconds(12);
+/// An engine that has not answered the second call either by then is
+/// unresponsive.
+constexpr Duration kUnresponsiveAfter = std::chrono::milliseconds(35);
+/// Added to both for each other instance that may probe at the same moment: the
+/// time an engine takes to accept a connection.
+constexpr Duration kDelayPerProber = std::chrono::microseconds(1000);
+/// A timer that fires this late shows that this process itself was stalled, and
+/// that answers may not have been read yet.
+constexpr Duration kMaxTimerDelay = std::chrono::milliseconds(15);
+/// Older results are of no use.
+constexpr Duration kMaxResultAge = std::chrono::seconds(10);
 
 }  // namespace
 
 EngineProbe::EngineProbe(http::Loop& event_loop, http::Client& http_client,
-                         http::Request question, ToReport decode)
+                         http::Request report_request, ToReport decode)
     : loop(event_loop),
       client(http_client),
-      request(std::move(question)),
+      request(std::move(report_request)),
       to_report(std::move(decode)) {}
 
-void EngineProbe::Ask(const std::string& address, TimePoint since,
-                      std::size_t askers, OnAnswer done) {
+void EngineProbe::Check(const std::string& address, TimePoint since,
+                        std::size_t probers, OnAnswer done) {
   const auto known = this->recent.find(address);
-  if (known != this->recent.end() && known->second.at >= since) {
+  if (known != this->recent.end() && known->second.time >= since) {
     this->loop.Post([done, answer = known->second.answer] { done(answer); });
     return;
   }
-  auto& question = this->asked[address];
-  if (question) {
-    question->waiting.push_back(std::move(done));
+  auto& pending = this->probes[address];
+  if (pending) {
+    pending->waiting.push_back(std::move(done));
     return;
   }
-  question = std::make_shared<Question>();
-  question->address = address;
-  question->waiting.push_back(std::move(done));
-  const Duration crowd = kForEachAsker * (askers > 0 ? askers - 1 : 0);
-  question->second_after = kSecondAfter + crowd;
-  question->silent_after = kSilentAfter + 2 * crowd;
-  this->Begin(question);
+  pending = std::make_shared<PendingProbe>();
+  pending->address = address;
+  pending->waiting.push_back(std::move(done));
+  const Duration extra = kDelayPerProber * (probers > 0 ? probers - 1 : 0);
+  pending->repeat_after = kRepeatAfter + extra;
+  pending->unresponsive_after = kUnresponsiveAfter + 2 * extra;
+  this->Begin(pending);
 }
 
-void EngineProbe::Begin(const std::shared_ptr<Question>& question) {
-  question->asked = this->loop.Now();
-  this->Send(question, question->silent_after, http::Reuse::kAllowed);
-  question->second_timer = this->loop.After(
-      question->second_after, [this, question] { this->SendSecond(question); });
+void EngineProbe::Begin(const std::shared_ptr<PendingProbe>& pending) {
+  pending->started = this->loop.Now();
+  this->Send(pending, pending->unresponsive_after, http::Reuse::kAllowed);
+  pending->repeat_timer = this->loop.After(
+      pending->repeat_after, [this, pending] { this->SendRepeat(pending); });
 }
 
-void EngineProbe::Send(const std::shared_ptr<Question>& question,
+void EngineProbe::Send(const std::shared_ptr<PendingProbe>& pending,
                        Duration timeout, http::Reuse reuse) {
-  ++question->under_way;
+  ++pending->in_flight;
   http::CallOptions options;
   options.reuse = reuse;
   options.connect_timeout = timeout;
   http::Fetch(
-      this->loop, this->client, question->address, this->request, timeout,
-      [this, question, ends = this->loop.Now() + timeout](
+      this->loop, this->client, pending->address, this->request, timeout,
+      [this, pending, ends = this->loop.Now() + timeout](
           const http::CallResult& result, const http::ResponseHead& head,
           const std::string& body) {
         const bool timed_out = this->loop.Now() >= ends;
-        this->OnPart(question, timed_out, result, head, body);
+        this->OnCallDone(pending, timed_out, result, head, body);
       },
       options);
 }
 
-void EngineProbe::SendSecond(const std::shared_ptr<Question>& question) {
-  if (question->waiting.empty() || std::exchange(question->second_sent, true)) {
+void EngineProbe::SendRepeat(const std::shared_ptr<PendingProbe>& pending) {
+  if (pending->waiting.empty() || std::exchange(pending->repeated, true)) {
     return;
   }
-  this->loop.Cancel(question->second_timer);
-  this->Send(question, question->silent_after - question->second_after,
+  this->loop.Cancel(pending->repeat_timer);
+  this->Send(pending, pending->unresponsive_after - pending->repeat_after,
              http::Reuse::kNever);
 }
 
-void EngineProbe::OnPart(const std::shared_ptr<Question>& question,
-                         bool timed_out, const http::CallResult& result,
-                         const http::ResponseHead& head,
-                         const std::string& body) {
-  --question->under_way;
-  if (question->waiting.empty()) return;
+void EngineProbe::OnCallDone(const std::shared_ptr<PendingProbe>& pending,
+                             bool timed_out, const http::CallResult& result,
+                             const http::ResponseHead& head,
+                             const std::string& body) {
+  --pending->in_flight;
+  if (pending->waiting.empty()) return;
   ProbeAnswer answer;
   if (result.end == http::CallEnd::kComplete) {
     answer.alive = true;
     if (head.status == http::kOk) answer.report = this->to_report(body);
-    this->End(question, answer);
+    this->Complete(pending, answer);
     return;
   }
-  // An engine with too many connections resets further ones. A kept connection
-  // may have been reset for any reason.
+  // An engine with too many connections resets further ones. A reused
+  // connection may have been reset for any reason.
   const bool reset = result.end != http::CallEnd::kNotConnected && !timed_out;
-  if (reset && !result.reused) question->sign_of_life = true;
-  if (!question->second_sent) {
-    this->SendSecond(question);
+  if (reset && !result.reused) pending->liveness_seen = true;
+  if (!pending->repeated) {
+    this->SendRepeat(pending);
     return;
   }
-  if (question->under_way > 0) return;
+  if (pending->in_flight > 0) return;
   const Duration late =
-      this->loop.Now() - question->asked - question->silent_after;
-  answer.alive = question->sign_of_life || late > kLateTimer;
-  this->End(question, answer);
+      this->loop.Now() - pending->started - pending->unresponsive_after;
+  answer.alive = pending->liveness_seen || late > kMaxTimerDelay;
+  this->Complete(pending, answer);
 }
 
-void EngineProbe::End(const std::shared_ptr<Question>& question,
-                      const ProbeAnswer& answer) {
+void EngineProbe::Complete(const std::shared_ptr<PendingProbe>& pending,
+                           const ProbeAnswer& answer) {
   const TimePoint now = this->loop.Now();
-  this->loop.Cancel(question->second_timer);
-  std::erase_if(this->recent, [now](const auto& one) {
-    return now - one.second.at > kForgetAfter;
+  this->loop.Cancel(pending->repeat_timer);
+  std::erase_if(this->recent, [now](const auto& entry) {
+    return now - entry.second.time > kMaxResultAge;
   });
-  this->recent[question->address] = {now, answer};
-  this->asked.erase(question->address);
-  const auto waiting = std::exchange(question->waiting, {});
-  for (const OnAnswer& each : waiting) each(answer);
+  this->recent[pending->address] = {now, answer};
+  this->probes.erase(pending->address);
+  const auto waiting = std::exchange(pending->waiting, {});
+  for (const OnAnswer& done : waiting) done(answer);
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -12,29 +12,30 @@
 using eventlog::Fields;
 using eventlog::Level;
 
-/// When to come back to an instance that knows too little: it reads the store
-/// again about once a second.
-constexpr Duration kRetryForBeliefs = std::chrono::milliseconds(500);
+/// Retry-After of an instance that lacks configuration or endpoints: it reads
+/// the store about once a second.
+constexpr Duration kRetryWithoutState = std::chrono::milliseconds(500);
 /// Streams last a few seconds. One that arrives later than this after the
-/// signal to stop could be cut by the kill; its caller is sent on at once.
-constexpr Duration kTakeAfterStop = std::chrono::milliseconds(2800);
+/// signal to stop could be cut by the kill, so it is refused and its caller
+/// goes to another instance.
+constexpr Duration kAcceptAfterStop = std::chrono::milliseconds(2800);
 constexpr double kMicrosPerSecond = 1e6;
-/// Between looks whether requests that came early can be taken.
-constexpr Duration kEarlyLook = std::chrono::milliseconds(10);
-/// What a waiting request holds beside its body, about.
+/// Between checks whether early requests can be admitted.
+constexpr Duration kEarlyPollPeriod = std::chrono::milliseconds(10);
+/// Approximate memory of a waiting request besides its body.
 constexpr std::size_t kHeadBytes = 1024;
-/// A silent engine gets nothing new for this long; by then the instance that
-/// places layers has asked it as well.
-constexpr Duration kSilentFor = std::chrono::milliseconds(1000);
-/// Between looks at the queue. A hundred answers a second end, so that one
-/// place is free every ten milliseconds on average.
-constexpr Duration kQueueLook = std::chrono::milliseconds(20);
+/// No new work goes to an unresponsive engine for this long; by then the leader
+/// has probed it as well.
+constexpr Duration kUnresponsivePause = std::chrono::milliseconds(1000);
+/// Between checks of the queue. A hundred answers end each second, so that
+/// capacity is freed every ten milliseconds on average.
+constexpr Duration kQueuePollPeriod = std::chrono::milliseconds(20);
 
 std::string_view KeyOf(std::string_view authorization,
                        std::string_view scheme) {
   if (authorization.size() <= scheme.size()) return {};
-  const std::string_view word = authorization.substr(0, scheme.size());
-  if (!http::EqualIgnoringCase(word, scheme)) return {};
+  const std::string_view prefix = authorization.substr(0, scheme.size());
+  if (!http::EqualIgnoringCase(prefix, scheme)) return {};
   std::string_view key = authorization.substr(scheme.size());
   if (key.front() != ' ') return {};
   while (!key.empty() && key.front() == ' ') key.remove_prefix(1);
@@ -42,12 +43,12 @@
   return key;
 }
 
-Duration DeadlineOf(std::string_view text, Duration most) {
+Duration DeadlineOf(std::string_view text, Duration max) {
   std::int64_t millis = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), millis);
-  if (error != std::errc() || millis <= 0) return most;
-  return std::min<Duration>(most, std::chrono::milliseconds(millis));
+  if (error != std::errc() || millis <= 0) return max;
+  return std::min<Duration>(max, std::chrono::milliseconds(millis));
 }
 
 }  // namespace
@@ -66,54 +67,55 @@
       random(HashText(shared_state.instance)),
       calls(std::move(engine_calls)),
       probe(event_loop, http_client, this->calls.report, this->calls.to_report),
-      start_wait(event_loop.Now()) {}
+      startup_wait(event_loop.Now()) {}
 
-bool Gateway::TooLateToTake(TimePoint now) const {
+bool Gateway::TooLateToAccept(TimePoint now) const {
   return this->state.stopping_since &&
-         now - *this->state.stopping_since > kTakeAfterStop;
+         now - *this->state.stopping_since > kAcceptAfterStop;
 }
 
 void Gateway::Handle(std::shared_ptr<http::Exchange> exchange) {
   ++this->counters.received;
   const TimePoint now = this->loop.Now();
   const std::size_t bytes = exchange->Received().body.size() + kHeadBytes;
-  if (!this->settings.mechanisms.start_wait || this->state.KnowEnough(now) ||
-      !this->start_wait.Enter(bytes, now)) {
-    this->Take(std::move(exchange), now);
+  if (!this->settings.mechanisms.startup_wait ||
+      this->state.CanAdmitRequests(now) ||
+      !this->startup_wait.Enter(bytes, now)) {
+    this->Admit(std::move(exchange), now);
     return;
   }
-  this->early.push_back({std::move(exchange), now, bytes});
-  if (this->early.size() > 1) return;
-  this->loop.After(kEarlyLook, [this] { this->TakeEarly(); });
+  this->early_requests.push_back({std::move(exchange), now, bytes});
+  if (this->early_requests.size() > 1) return;
+  this->loop.After(kEarlyPollPeriod, [this] { this->AdmitEarly(); });
 }
 
-void Gateway::TakeEarly() {
+void Gateway::AdmitEarly() {
   const TimePoint now = this->loop.Now();
-  if (!this->state.KnowEnough(now) && !this->start_wait.Expired(now)) {
-    this->loop.After(kEarlyLook, [this] { this->TakeEarly(); });
+  if (!this->state.CanAdmitRequests(now) && !this->startup_wait.Expired(now)) {
+    this->loop.After(kEarlyPollPeriod, [this] { this->AdmitEarly(); });
     return;
   }
-  for (Early& one : std::exchange(this->early, {})) {
-    this->start_wait.Leave(one.bytes);
-    if (one.exchange->Gone()) {
+  for (EarlyRequest& waiting : std::exchange(this->early_requests, {})) {
+    this->startup_wait.Leave(waiting.bytes);
+    if (waiting.exchange->Gone()) {
       ++this->counters.caller_disconnected;
       continue;
     }
-    this->Take(std::move(one.exchange), one.arrived);
+    this->Admit(std::move(waiting.exchange), waiting.arrived);
   }
 }
 
-void Gateway::Take(std::shared_ptr<http::Exchange> exchange,
-                   TimePoint arrived) {
+void Gateway::Admit(std::shared_ptr<http::Exchange> exchange,
+                    TimePoint arrived) {
   const TimePoint now = this->loop.Now();
   const http::Request& request = exchange->Received();
-  const auto table = this->state.table;
+  const auto table = this->state.route_table;
   if (!table) {
-    this->Refuse(*exchange, http::kUnavailable, kRetryForBeliefs,
+    this->Refuse(*exchange, http::kUnavailable, kRetryWithoutState,
                  "no_configuration");
     return;
   }
-  if (this->TooLateToTake(now)) {
+  if (this->TooLateToAccept(now)) {
     this->Refuse(*exchange, http::kUnavailable, Duration(0), "stopping");
     return;
   }
@@ -128,8 +130,8 @@
   }
   const routes::Route& route = *admitted.route;
   if (!route.open && !table->All().customers.empty()) {
-    if (!this->state.KeysHold(now)) {
-      this->Refuse(*exchange, http::kUnavailable, kRetryForBeliefs,
+    if (!this->state.MayAcceptKeys(now)) {
+      this->Refuse(*exchange, http::kUnavailable, kRetryWithoutState,
                    "keys_unconfirmed");
       return;
     }
@@ -145,7 +147,8 @@
   const routes::ServiceShare* share = routes::DrawService(route, this->random);
   if (share != nullptr) admitted.service = table->FindService(share->service);
   if (admitted.service == nullptr) {
-    this->Refuse(*exchange, http::kUnavailable, kRetryForBeliefs, "no_service");
+    this->Refuse(*exchange, http::kUnavailable, kRetryWithoutState,
+                 "no_service");
     return;
   }
   admitted.deadline =
@@ -156,74 +159,75 @@
       ->Start();
 }
 
-std::size_t Gateway::Askers() const {
+std::size_t Gateway::ConcurrentProbers() const {
   return this->state.peers.InstanceCount(this->loop.Now());
 }
 
-bool Gateway::AsksWholePaths(TimePoint now) const {
-  return this->settings.mechanisms.engine_questions &&
+bool Gateway::ProbesWholePaths(TimePoint now) const {
+  return this->settings.mechanisms.engine_probes &&
          !this->state.peers.IsLargeFleet(now);
 }
 
-void Gateway::Doubt(const std::vector<pipeline::Stage>& engines,
-                    TimePoint since) {
+void Gateway::ProbeEngines(const std::vector<pipeline::Stage>& engines,
+                           TimePoint since) {
   for (const pipeline::Stage& stage : engines) {
-    this->AskWhetherAlive(stage, since);
+    this->ProbeEngine(stage, since);
   }
 }
 
-void Gateway::AskWhetherAlive(const pipeline::Stage& stage, TimePoint since) {
-  this->probe.Ask(stage.address, since, this->Askers(),
-                  [this, id = stage.endpoint](const ProbeAnswer& answer) {
-                    if (answer.alive) {
-                      this->state.loads.OnResponse(id, this->loop.Now());
-                    } else {
-                      this->NoteSilent(id);
-                    }
-                  });
+void Gateway::ProbeEngine(const pipeline::Stage& stage, TimePoint since) {
+  this->probe.Check(stage.address, since, this->ConcurrentProbers(),
+                    [this, id = stage.endpoint](const ProbeAnswer& answer) {
+                      if (answer.alive) {
+                        this->state.loads.OnResponse(id, this->loop.Now());
+                      } else {
+                        this->SetUnresponsive(id);
+                      }
+                    });
 }
 
-void Gateway::NoteSilent(const std::string& endpoint) {
+void Gateway::SetUnresponsive(const std::string& endpoint) {
   const TimePoint now = this->loop.Now();
-  const bool news =
-      this->state.loads.MarkUnresponsive(endpoint, now + kSilentFor, now);
-  if (!news) return;
+  const bool newly_found = this->state.loads.MarkUnresponsive(
+      endpoint, now + kUnresponsivePause, now);
+  if (!newly_found) return;
   this->logger.Write(Level::kNotable, "engine_silent",
                      Fields().Text("endpoint", endpoint), now);
-  if (this->tell_silent) this->tell_silent();
+  if (this->announce_unresponsive) this->announce_unresponsive();
   this->RerouteAround(endpoint);
 }
 
 void Gateway::RerouteAround(const std::string& endpoint) {
-  // Leading one around may end it, and others with it.
+  // Rerouting one request may end it, and others with it.
   std::vector<std::shared_ptr<ProxiedRequest>> all;
-  for (ProxiedRequest* one : this->passages)
+  for (ProxiedRequest* one : this->active) {
     all.push_back(one->shared_from_this());
-  for (const auto& one : all) one->OnEngineSilent(endpoint);
+  }
+  for (const auto& request : all) request->OnEngineUnresponsive(endpoint);
 }
 
-std::vector<endpoints::LivenessEvidence> Gateway::SignsBeside(
+std::vector<endpoints::LivenessEvidence> Gateway::EvidenceExcept(
     const ProxiedRequest& except) const {
-  std::vector<endpoints::LivenessEvidence> signs;
-  for (const ProxiedRequest* one : this->passages) {
-    if (one == &except) continue;
-    if (auto sign = one->Sign()) signs.push_back(std::move(*sign));
+  std::vector<endpoints::LivenessEvidence> evidence;
+  for (const ProxiedRequest* request : this->active) {
+    if (request == &except) continue;
+    if (auto shown = request->Liveness()) evidence.push_back(std::move(*shown));
   }
-  return signs;
+  return evidence;
 }
 
-void Gateway::Enqueue(std::shared_ptr<ProxiedRequest> passage) {
+void Gateway::Enqueue(std::shared_ptr<ProxiedRequest> request) {
   ++this->counters.queued;
-  this->queue.push_back(std::move(passage));
+  this->queue.push_back(std::move(request));
   if (this->queue_timer != 0) return;
   this->queue_timer =
-      this->loop.After(kQueueLook, [this] { this->ServeQueue(); });
+      this->loop.After(kQueuePollPeriod, [this] { this->ServeQueue(); });
 }
 
 void Gateway::ServeQueue() {
   this->queue_timer = 0;
-  // In the order of arrival; whoever finds no room keeps those behind from
-  // overtaking, or a long answer would never find a place.
+  // In order of arrival; a request without capacity blocks those behind it, or
+  // a long answer would never be placed.
   while (!this->queue.empty()) {
     const auto first = this->queue.front();
     if (!first->LeaveQueue()) break;
@@ -231,7 +235,7 @@
   }
   if (this->queue.empty()) return;
   this->queue_timer =
-      this->loop.After(kQueueLook, [this] { this->ServeQueue(); });
+      this->loop.After(kQueuePollPeriod, [this] { this->ServeQueue(); });
 }
 
 void Gateway::Refuse(http::Exchange& exchange, int status, Duration retry_after,
--- a/lib/instance/instance_state.cc
+++ b/lib/instance/instance_state.cc
@@ -5,18 +5,20 @@
 namespace toucanwharf::instance {
 namespace {
 
-/// Taken off the bound of revocation. The check and the send are in one step
-/// of the loop, and the clocks of a fleet differ by less than a thousandth.
+/// Subtracted from the revocation bound. The check and the send happen in one
+/// step of the loop, and the clock rates of a fleet differ by less than a
+/// thousandth.
 constexpr Duration kRevocationMargin = std::chrono::milliseconds(100);
 /// Endpoints register again within two seconds of the store's return.
 constexpr Duration kOutageGrace = std::chrono::milliseconds(2000);
-/// An entry runs out after three heartbeats without one; an endpoint may have
-/// missed one of them by itself.
-constexpr int kHeartbeatsOfAnOutage = 2;
+/// An entry expires after three missed heartbeats; an endpoint may have missed
+/// one of them on its own.
+constexpr int kMissedHeartbeatsInOutage = 2;
 
-/// A peer of a large fleet, whose turn comes seldom, isn't called silent for
-/// many seconds; callers are not sent to it for so long.
-constexpr Duration kAdvisedFor = std::chrono::milliseconds(3000);
+/// A peer in a large fleet, which sends seldom, counts as unresponsive only
+/// after many seconds; callers are directed to it only for this long after its
+/// last beacon.
+constexpr Duration kAdvisedAfterBeacon = std::chrono::milliseconds(3000);
 
 }  // namespace
 
@@ -25,16 +27,17 @@
     : instance(std::move(instance_id)),
       freshness(settings.bounds.revocation, kRevocationMargin),
       endpoints(kOutageGrace,
-                kHeartbeatsOfAnOutage * settings.endpoint_heartbeat),
+                kMissedHeartbeatsInOutage * settings.endpoint_heartbeat),
       peers(this->instance),
       strict_revocation(settings.bounds.strict_revocation) {}
 
-bool InstanceState::KeysHold(TimePoint now) const {
+bool InstanceState::MayAcceptKeys(TimePoint now) const {
   return !this->strict_revocation || this->freshness.Holds(now);
 }
 
-bool InstanceState::KnowEnough(TimePoint now) const {
-  return this->table && this->endpoints.Revision() > 0 && this->KeysHold(now);
+bool InstanceState::CanAdmitRequests(TimePoint now) const {
+  return this->route_table && this->endpoints.Revision() > 0 &&
+         this->MayAcceptKeys(now);
 }
 
 std::vector<std::string> InstanceState::ReadyPeers(
@@ -43,8 +46,8 @@
   std::vector<std::string> addresses;
   if (this->leads || !this->ready_list.IsCurrent(now)) {
     for (const gossip::Peer* peer : this->peers.AllLive(now)) {
-      const bool lately = now - peer->last_beacon_at <= kAdvisedFor;
-      if (!lately || !peer->beacon.ready) continue;
+      const bool recent = now - peer->last_beacon_at <= kAdvisedAfterBeacon;
+      if (!recent || !peer->beacon.ready) continue;
       addresses.push_back(peer->beacon.callers_address);
     }
     return addresses;
@@ -54,18 +57,19 @@
     if (number == own) continue;
     const gossip::Peer* peer = this->peers.Live(
         gossip::AddressOf(number, gossip::PortOf(datagrams)), now);
-    // One that has just said that it stops is still in the leader's last word.
-    const bool says_not =
+    // The leader's last list still contains a peer that has just announced its
+    // stop.
+    const bool reports_not_ready =
         peer != nullptr && !peer->beacon.ready &&
         now - peer->last_beacon_at <= gossip::ReadyInstanceList::kMaxAge;
-    if (says_not) continue;
+    if (reports_not_ready) continue;
     addresses.push_back(gossip::AddressOf(number, gossip::PortOf(callers)));
   }
   return addresses;
 }
 
 bool InstanceState::Ready(TimePoint now) const {
-  return !this->stopping_since && this->KnowEnough(now);
+  return !this->stopping_since && this->CanAdmitRequests(now);
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/mechanisms.cc
+++ b/lib/instance/mechanisms.cc
@@ -17,21 +17,21 @@
 };
 
 constexpr std::array kSwitches = {
-    Switch{"engine-questions", &Mechanisms::engine_questions},
+    Switch{"engine-questions", &Mechanisms::engine_probes},
     Switch{"resume-first", &Mechanisms::resume_first},
     Switch{"spread-resumed", &Mechanisms::spread_resumed},
-    Switch{"start-wait", &Mechanisms::start_wait},
-    Switch{"room-queue", &Mechanisms::room_queue},
+    Switch{"start-wait", &Mechanisms::startup_wait},
+    Switch{"room-queue", &Mechanisms::capacity_queue},
     Switch{"standby-copies", &Mechanisms::standby_copies},
-    Switch{"crowding-price", &Mechanisms::crowding_price},
+    Switch{"crowding-price", &Mechanisms::price_congestion},
     Switch{"refusal-pauses", &Mechanisms::refusal_pauses},
     Switch{"entry-choices", &Mechanisms::entry_choices},
-    Switch{"silent-peers", &Mechanisms::silent_peers}};
+    Switch{"silent-peers", &Mechanisms::ignore_unresponsive_peers}};
 
 std::string KnownNames() {
   return absl::StrJoin(
       kSwitches, ", ",
-      [](std::string* text, const Switch& one) { text->append(one.name); });
+      [](std::string* text, const Switch& known) { text->append(known.name); });
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
        std::vector<std::string>(absl::StrSplit(off, ',', absl::SkipEmpty()))) {
     const auto found =
         std::find_if(kSwitches.begin(), kSwitches.end(),
-                     [&](const Switch& one) { return one.name == name; });
+                     [&](const Switch& known) { return known.name == name; });
     if (found == kSwitches.end()) {
       parsed.problems.push_back(absl::StrCat("no mechanism is named '", name,
                                              "'; known: ", KnownNames()));
--- a/lib/instance/metrics.cc
+++ b/lib/instance/metrics.cc
@@ -11,7 +11,7 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 
-/// Writes metrics one after the other.
+/// Appends metrics in the Prometheus text format.
 class Writer {
  public:
   void Counter(const char* name, const char* help, std::uint64_t value) {
@@ -26,10 +26,10 @@
                  const LatencyHistogram& values) {
     this->Head(name, help, "histogram");
     std::uint64_t sum = 0;
-    for (std::size_t at = 0; at < LatencyHistogram::kBounds.size(); ++at) {
-      sum += values.counts[at];
+    for (std::size_t i = 0; i < LatencyHistogram::kBounds.size(); ++i) {
+      sum += values.counts[i];
       const double bound =
-          static_cast<double>(LatencyHistogram::kBounds[at].count()) /
+          static_cast<double>(LatencyHistogram::kBounds[i].count()) /
           kMicrosPerSecond;
       absl::StrAppend(&this->text, "toucanwharf_", name, "_bucket{le=\"", bound,
                       "\"} ", sum, "\n");
@@ -53,7 +53,7 @@
   std::string text;
 };
 
-/// -1 for an age that is not known.
+/// Returns -1 for an unknown age.
 double SecondsOf(const std::optional<Duration>& age) {
   if (!age) return -1;
   return static_cast<double>(age->count()) / kMicrosPerSecond;
@@ -95,7 +95,7 @@
   writer.Latencies("first_event_seconds", "time to a stream's first event",
                    counters.first_event_latency);
   writer.Gauge("under_way", "requests under way",
-               static_cast<double>(gateway.UnderWay()));
+               static_cast<double>(gateway.InFlight()));
   writer.Gauge("budget_instances",
                "instances that share the budget of extra arrivals, 0 while "
                "that isn't known",
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -13,27 +13,28 @@
 using eventlog::Level;
 using gossip::PortOf;
 
-/// Facts that the placing instance told count for so long without new ones.
-constexpr Duration kFactsFor = std::chrono::seconds(3);
-/// Suspicions that peers tell are cut to this: a peer's link may be at fault.
-constexpr Duration kLongestSuspicion = std::chrono::seconds(3);
-constexpr std::size_t kMostPeersTold = 16;
-/// The leader tells so many at once, and waits a moment before the next: 30
-/// messages of 6 KB take 8 ms of a link of 200 Mbit/s.
-constexpr std::size_t kToldAtOnce = 30;
-constexpr std::size_t kMostPartsOfRound = 15;
-constexpr Duration kBetweenParts = std::chrono::milliseconds(20);
-/// Within this time all that live have heard of a new leader and told it of
-/// themselves, also when a message each way is lost.
-constexpr Duration kAllHeardAfter = std::chrono::milliseconds(2000);
-/// News of a large fleet that come within this time are told together.
-constexpr Duration kGatherNews = std::chrono::milliseconds(30);
-/// In a small fleet a peer whose beacons have stopped for so long was probably
-/// killed, and its answers with it: engines are not as full as it last said,
-/// just when its callers come back to the others. Two beacons may be lost.
-constexpr Duration kLoadsCountFor = std::chrono::milliseconds(600);
-/// Hundreds of beacons that can't be sent are one line.
-constexpr Duration kBetweenSendFailures = std::chrono::seconds(1);
+/// Lifetime of the engine statuses that the leader sent.
+constexpr Duration kStatusLifetime = std::chrono::seconds(3);
+/// Suspicions reported by peers are limited to this: the peer's link may be at
+/// fault.
+constexpr Duration kMaxSuspicion = std::chrono::seconds(3);
+constexpr std::size_t kMaxIntroducedPeers = 16;
+/// The leader sends this many beacons in a row and pauses before the next
+/// batch: 30 messages of 6 KB take 8 ms on a link of 200 Mbit/s.
+constexpr std::size_t kBatchSize = 30;
+constexpr std::size_t kMaxBatches = 15;
+constexpr Duration kBatchInterval = std::chrono::milliseconds(20);
+/// Within this time every live instance has received a beacon from a new leader
+/// and sent it one, also if a message in each direction is lost.
+constexpr Duration kAllContactedAfter = std::chrono::milliseconds(2000);
+/// Changes in a large fleet within this time are announced together.
+constexpr Duration kCoalesceDelay = std::chrono::milliseconds(30);
+/// In a small fleet a peer without beacons for this long was probably killed,
+/// and its answers with it: engines are less loaded than it last reported, just
+/// when its callers reconnect to the others. Two beacons may be lost.
+constexpr Duration kLoadLifetime = std::chrono::milliseconds(600);
+/// Log at most one line for hundreds of beacons that cannot be sent.
+constexpr Duration kSendFailureLogPeriod = std::chrono::seconds(1);
 
 std::string IpOf(const std::string& address) {
   return address.substr(0, address.rfind(':'));
@@ -48,16 +49,16 @@
       client(http_client),
       state(shared_state),
       logger(log),
-      lists(list_log),
+      endpoint_log(list_log),
       settings(chosen),
       started(event_loop.Now()),
-      copies(event_loop, http_client, shared_state, log, list_log,
-             chosen.failure_domain),
+      snapshots(event_loop, http_client, shared_state, log, list_log,
+                chosen.failure_domain),
       random(HashText(shared_state.instance)) {}
 
 Result<void> PeerLink::Start(OnConfiguration on_configuration,
                              OnEndpoints on_endpoints) {
-  this->copies.Start(std::move(on_configuration), std::move(on_endpoints));
+  this->snapshots.Start(std::move(on_configuration), std::move(on_endpoints));
   auto bound = http::DatagramSocket::Bind(
       this->loop, this->settings.datagram_address,
       [this](const std::string& sender, std::string_view payload) {
@@ -86,9 +87,9 @@
 void PeerLink::AddRegistered(
     const std::vector<gossip::BackupLeaderCandidate>& registered) {
   std::vector<gossip::BackupLeaderCandidate> candidates = registered;
-  for (gossip::BackupLeaderCandidate& one : candidates) {
-    this->AddInstance(one.address);
-    one.address = this->DatagramAddressOf(one.address);
+  for (gossip::BackupLeaderCandidate& candidate : candidates) {
+    this->AddInstance(candidate.address);
+    candidate.address = this->DatagramAddressOf(candidate.address);
   }
   const bool wanted = this->state.peers.IsLargeFleet(this->loop.Now()) &&
                       this->state.backup_leaders.empty();
@@ -112,85 +113,90 @@
   const bool coordinator = leads || this->state.is_backup_leader;
   if (!coordinator) this->coordinator_since.reset();
   if (coordinator && !this->coordinator_since) this->coordinator_since = now;
-  const bool led = leads || !large || this->state.ready_list.IsCurrent(now) ||
-                   !this->state.peers.Leader(now).empty();
+  const bool has_leader = leads || !large ||
+                          this->state.ready_list.IsCurrent(now) ||
+                          !this->state.peers.Leader(now).empty();
   this->state.loads.AssumeEqualPeerLoad(
-      led ? 0 : this->state.peers.InstanceCount(now) - 1);
-  const std::size_t near =
+      has_leader ? 0 : this->state.peers.InstanceCount(now) - 1);
+  const std::size_t nearby =
       this->state.peers.AddressesInDomain(this->settings.failure_domain, now)
           .size();
   this->state.peers.SetPeerTimeout(
-      this->HearsAll(now) ? gossip::BeaconScheduleSettings().min_peer_timeout
-                          : this->rotation.PeerTimeout(near));
-  this->AdoptProofs(now);
+      this->HasContactedAll(now)
+          ? gossip::BeaconScheduleSettings().min_peer_timeout
+          : this->schedule.PeerTimeout(nearby));
+  this->ApplyConfirmations(now);
   if (large && coordinator) this->SumLoads(now);
-  auto told = this->rotation.Next(this->MakeAudience(now));
-  if (this->rotation.LastRoundWasBroadcast()) {
-    this->about = this->ranges.Next(this->state.endpoints.All().size());
+  auto recipients = this->schedule.Next(this->MakeTargets(now));
+  if (this->schedule.LastRoundWasBroadcast()) {
+    this->covered_keys = this->ranges.Next(this->state.endpoints.All().size());
   }
-  this->Tell(std::move(told), 0);
+  this->SendInBatches(std::move(recipients), 0);
   this->LogPeers(now);
-  this->loop.After(this->rotation.Period(), [this] { this->Tick(); });
+  this->loop.After(this->schedule.Period(), [this] { this->Tick(); });
 }
 
-gossip::BeaconTargets PeerLink::MakeAudience(TimePoint now) const {
+gossip::BeaconTargets PeerLink::MakeTargets(TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
-  gossip::BeaconTargets audience;
-  audience.same_domain =
+  gossip::BeaconTargets targets;
+  targets.same_domain =
       peers.AddressesInDomain(this->settings.failure_domain, now);
-  audience.other_domains =
+  targets.other_domains =
       peers.AddressesInOtherDomains(this->settings.failure_domain, now);
-  audience.leader = peers.Leader(now);
-  audience.backup_leaders = this->OtherBackupLeaders(audience.leader);
-  audience.is_coordinator = this->state.leads || this->state.is_backup_leader;
-  return audience;
+  targets.leader = peers.Leader(now);
+  targets.backup_leaders = this->OtherBackupLeaders(targets.leader);
+  targets.is_coordinator = this->state.leads || this->state.is_backup_leader;
+  return targets;
 }
 
 std::vector<std::string> PeerLink::OtherBackupLeaders(
     const std::string& leader) const {
   std::vector<std::string> others;
-  for (const std::string& one : this->state.backup_leaders) {
-    const bool other = one != this->settings.datagram_address && one != leader;
-    if (other) others.push_back(one);
+  for (const std::string& address : this->state.backup_leaders) {
+    const bool other =
+        address != this->settings.datagram_address && address != leader;
+    if (other) others.push_back(address);
   }
   return others;
 }
 
-/// Two backup leaders tell the same, and hear the same.
-bool PeerLink::SpeaksForFleet(TimePoint now) const {
+/// Two backup leaders may act concurrently; they receive and send the same
+/// state.
+bool PeerLink::ActsForFleet(TimePoint now) const {
   if (this->state.leads) return true;
-  return this->state.is_backup_leader && this->HearsAll(now) &&
+  return this->state.is_backup_leader && this->HasContactedAll(now) &&
          this->state.peers.Leader(now).empty();
 }
 
-void PeerLink::Tell(std::vector<std::string> addresses, std::size_t begin) {
+void PeerLink::SendInBatches(std::vector<std::string> addresses,
+                             std::size_t begin) {
   if (begin >= addresses.size()) return;
-  // Made anew for each few: the ages in it must be those of the moment at which
-  // it is sent.
+  // Encoded anew for each batch: the ages in a beacon must be those at the
+  // moment it is sent.
   const std::size_t count =
-      std::max(kToldAtOnce, addresses.size() / kMostPartsOfRound);
+      std::max(kBatchSize, addresses.size() / kMaxBatches);
   const std::size_t end = std::min(addresses.size(), begin + count);
   this->SendTo({addresses.begin() + static_cast<std::ptrdiff_t>(begin),
                 addresses.begin() + static_cast<std::ptrdiff_t>(end)},
                Content::kFleet);
   if (end == addresses.size()) return;
-  this->loop.After(kBetweenParts, [this, rest = std::move(addresses), end] {
-    this->Tell(rest, end);
+  this->loop.After(kBatchInterval, [this, rest = std::move(addresses), end] {
+    this->SendInBatches(rest, end);
   });
 }
 
-bool PeerLink::HearsAll(TimePoint now) const {
+bool PeerLink::HasContactedAll(TimePoint now) const {
   return this->coordinator_since &&
-         now - *this->coordinator_since >= kAllHeardAfter;
+         now - *this->coordinator_since >= kAllContactedAfter;
 }
 
 void PeerLink::Announce() {
-  // Many things may change in one moment; one message tells of them all.
+  // Several changes at one moment are announced in one message.
   if (this->announcing) return;
   this->announcing = true;
   const bool large = this->state.peers.IsLargeFleet(this->loop.Now());
-  const bool at_once = !large || this->state.stopping_since;
-  this->loop.After(at_once ? Duration(0) : kGatherNews, [this] {
+  const bool immediate = !large || this->state.stopping_since;
+  this->loop.After(immediate ? Duration(0) : kCoalesceDelay, [this] {
     this->announcing = false;
     const TimePoint now = this->loop.Now();
     this->SendTo(
@@ -200,9 +206,9 @@
 }
 
 void PeerLink::AnnounceChange() {
-  const bool by_leader =
+  const bool leader_announces =
       this->state.peers.IsLargeFleet(this->loop.Now()) && !this->state.leads;
-  if (!by_leader) this->Announce();
+  if (!leader_announces) this->Announce();
 }
 
 void PeerLink::AnnounceToDomain() {
@@ -213,12 +219,12 @@
                Content::kOwn);
 }
 
-void PeerLink::AnnounceSilentEngine() {
+void PeerLink::AnnounceUnresponsiveEngine() {
   const TimePoint now = this->loop.Now();
   const std::string leader = this->state.peers.Leader(now);
-  const bool by_leader = this->state.peers.IsLargeFleet(now) &&
-                         !this->state.leads && !leader.empty();
-  if (by_leader) {
+  const bool leader_announces = this->state.peers.IsLargeFleet(now) &&
+                                !this->state.leads && !leader.empty();
+  if (leader_announces) {
     this->SendTo({leader}, Content::kOwn);
   } else {
     this->Announce();
@@ -248,32 +254,34 @@
   return beacon;
 }
 
-void PeerLink::AddFleet(gossip::Beacon& beacon, TimePoint now) const {
-  beacon.covered_keys = this->about;
-  for (const gossip::EngineStatus& fact : this->facts) {
+void PeerLink::AddFleetState(gossip::Beacon& beacon, TimePoint now) const {
+  beacon.covered_keys = this->covered_keys;
+  for (const gossip::EngineStatus& status : this->engine_statuses) {
     const endpoints::Endpoint* endpoint =
-        this->state.endpoints.Find(fact.endpoint);
-    if (endpoint == nullptr || endpoint->start_time_ms != fact.start_time_ms)
+        this->state.endpoints.Find(status.endpoint);
+    if (endpoint == nullptr ||
+        endpoint->start_time_ms != status.start_time_ms) {
       continue;
+    }
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
-    if (!this->about.Contains(key)) continue;
+    if (!this->covered_keys.Contains(key)) continue;
     beacon.engine_statuses.push_back(
-        {key, fact.layers, fact.slowdown, fact.token_layers});
+        {key, status.layers, status.slowdown, status.token_layers});
   }
-  if (!this->SpeaksForFleet(now)) return;
+  if (!this->ActsForFleet(now)) return;
   for (const gossip::EndpointLoad& load : this->state.loads.All()) {
     const endpoints::Endpoint* endpoint =
         this->state.endpoints.Find(load.endpoint);
     if (endpoint == nullptr) continue;
     const std::uint32_t key = endpoints::EndpointKey(*endpoint);
-    if (!this->about.Contains(key)) continue;
+    if (!this->covered_keys.Contains(key)) continue;
     beacon.fleet_loads.push_back(
         {key, load.answers, load.token_layers, load.first_stage_answers});
   }
-  const bool tells_all =
-      this->state.peers.IsLargeFleet(now) && this->HearsAll(now);
-  if (tells_all) beacon.ready_instances = this->ReadyInstances(now);
-  if (tells_all && this->state.leads) {
+  const bool has_all_loads =
+      this->state.peers.IsLargeFleet(now) && this->HasContactedAll(now);
+  if (has_all_loads) beacon.ready_instances = this->ReadyInstances(now);
+  if (has_all_loads && this->state.leads) {
     beacon.backup_leaders = gossip::ChooseBackupLeaders(
         this->state.peers, this->settings.failure_domain, now);
   }
@@ -297,38 +305,38 @@
   const TimePoint now = this->loop.Now();
   gossip::Beacon beacon = this->MakeBeacon(now);
   gossip::TrimToDatagram(beacon);
-  if (content == Content::kFleet) this->AddFleet(beacon, now);
-  const gossip::EncodedBeacon usual(beacon);
+  if (content == Content::kFleet) this->AddFleetState(beacon, now);
+  const gossip::EncodedBeacon full(beacon);
   const std::string leader = this->state.peers.Leader(now);
   const auto backup_leaders = this->OtherBackupLeaders(leader);
-  // In a large fleet only the leader and its backup leaders add up what the
-  // others have under way, and tell all of them the sum: the single loads are
-  // most of a beacon.
+  // In a large fleet only the leader and the backup leaders sum the loads of
+  // all, and send them the sum: the single loads are most of a beacon.
   gossip::Beacon brief = beacon;
   if (this->state.peers.IsLargeFleet(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
   auto known = this->state.peers.Addresses(now);
   std::shuffle(known.begin(), known.end(), this->random);
-  known.resize(std::min(known.size(), kMostPeersTold));
+  known.resize(std::min(known.size(), kMaxIntroducedPeers));
   brief.peers = std::move(known);
   const gossip::EncodedBeacon introducing(brief);
   for (const std::string& address : addresses) {
     const auto stamp = this->stamps.find(address);
     const Stamp last = stamp == this->stamps.end() ? Stamp{} : stamp->second;
-    const bool introduce = this->MayKnowNobody(address, now);
-    const bool to_hub = address == leader ||
-                        std::find(backup_leaders.begin(), backup_leaders.end(),
-                                  address) != backup_leaders.end();
-    const gossip::EncodedBeacon& known_as = to_hub ? usual : to_followers;
-    const std::string bytes =
-        (introduce ? introducing : known_as).For(last.at, last.instance);
-    this->NoteSend(this->socket->Send(address, bytes), bytes.size(), now);
+    const bool needs_introduction = this->NeedsIntroduction(address, now);
+    const bool to_coordinator =
+        address == leader ||
+        std::find(backup_leaders.begin(), backup_leaders.end(), address) !=
+            backup_leaders.end();
+    const gossip::EncodedBeacon& chosen = to_coordinator ? full : to_followers;
+    const std::string bytes = (needs_introduction ? introducing : chosen)
+                                  .For(last.value, last.instance);
+    this->LogSendFailure(this->socket->Send(address, bytes), bytes.size(), now);
   }
 }
 
-void PeerLink::NoteSend(const std::error_code& error, std::size_t size,
-                        TimePoint now) {
-  if (!error || now - this->send_failure_logged < kBetweenSendFailures) return;
+void PeerLink::LogSendFailure(const std::error_code& error, std::size_t size,
+                              TimePoint now) {
+  if (!error || now - this->send_failure_logged < kSendFailureLogPeriod) return;
   this->send_failure_logged = now;
   this->logger.Write(Level::kNotable, "beacon_not_sent",
                      Fields()
@@ -337,36 +345,37 @@
                      now);
 }
 
-/// Whoever is not heard of may be new, and knows nobody yet. In a large fleet
-/// those of other failure domains are seldom heard of, but once is enough.
-bool PeerLink::MayKnowNobody(const std::string& address, TimePoint now) const {
+/// A peer without a beacon may be new and know no other instance. In a large
+/// fleet beacons from other failure domains are rare, but one is enough.
+bool PeerLink::NeedsIntroduction(const std::string& address,
+                                 TimePoint now) const {
   const gossip::PeerTable& peers = this->state.peers;
   return peers.IsLargeFleet(now) ? !peers.EverContacted(address)
                                  : peers.Live(address, now) == nullptr;
 }
 
 void PeerLink::LogPeers(TimePoint now) {
-  const bool hears_few =
+  const bool sees_few_peers =
       this->state.peers.IsLargeFleet(now) && !this->state.leads;
   std::set<std::string> live;
   for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
-    // Those of other failure domains are heard of about once a minute.
+    // Peers in other failure domains send a beacon about once a minute.
     const bool far =
         peer->beacon.failure_domain != this->settings.failure_domain;
-    if (far && hears_few && !peer->beacon.leads) continue;
+    if (far && sees_few_peers && !peer->beacon.leads) continue;
     live.insert(peer->beacon.callers_address);
   }
-  for (const std::string& one : live) {
-    if (this->live_before.contains(one)) continue;
+  for (const std::string& address : live) {
+    if (this->previously_live.contains(address)) continue;
     this->logger.Write(Level::kNotable, "peer_heard",
-                       Fields().Text("peer", one), now);
+                       Fields().Text("peer", address), now);
   }
-  for (const std::string& one : this->live_before) {
-    if (live.contains(one)) continue;
+  for (const std::string& address : this->previously_live) {
+    if (live.contains(address)) continue;
     this->logger.Write(Level::kNotable, "peer_silent",
-                       Fields().Text("peer", one), now);
+                       Fields().Text("peer", address), now);
   }
-  this->live_before = std::move(live);
+  this->previously_live = std::move(live);
 }
 
 void PeerLink::OnDatagram(const std::string& sender, std::string_view payload) {
@@ -383,59 +392,63 @@
     if (address == this->settings.datagram_address) continue;
     this->state.peers.AddAddress(address, now);
   }
-  this->AdoptFrom(*beacon, now);
-  this->copies.FetchNewer(*beacon);
+  this->ApplyBeacon(*beacon, now);
+  this->snapshots.FetchNewer(*beacon);
 }
 
-void PeerLink::AdoptFrom(const gossip::Beacon& beacon, TimePoint now) {
-  for (const gossip::Suspicion& one : beacon.suspicions) {
-    this->AdoptSuspicion(one, now);
+void PeerLink::ApplyBeacon(const gossip::Beacon& beacon, TimePoint now) {
+  for (const gossip::Suspicion& suspicion : beacon.suspicions) {
+    this->ApplySuspicion(suspicion, now);
   }
   const bool large = this->state.peers.IsLargeFleet(now);
-  const bool speaks = beacon.leads || !beacon.engine_statuses.empty() ||
-                      !beacon.ready_instances.empty();
-  if (speaks) this->AdoptFleet(beacon, now);
+  const bool advertises_fleet = beacon.leads ||
+                                !beacon.engine_statuses.empty() ||
+                                !beacon.ready_instances.empty();
+  if (advertises_fleet) this->ApplyFleetState(beacon, now);
   if (!large) this->SumLoads(now);
-  // Hundreds of beacons a second come to the leader of a large fleet, and to
-  // look through all peers for each of them is most of its time. The next
-  // round takes what they prove.
-  const bool hears_few = !this->state.leads && !this->state.is_backup_leader;
-  if (!large || hears_few) this->AdoptProofs(now);
+  // The leader of a large fleet receives hundreds of beacons a second, and
+  // would spend most of its time scanning all peers for each. The next round
+  // applies their confirmations.
+  const bool sees_few_peers =
+      !this->state.leads && !this->state.is_backup_leader;
+  if (!large || sees_few_peers) this->ApplyConfirmations(now);
 }
 
-/// Takes what the leader tells of the fleet. In a large fleet the peers' own
-/// words on their loads are seconds old, but for the leader's, which has heard
-/// all lately.
-void PeerLink::AdoptFleet(const gossip::Beacon& beacon, TimePoint now) {
-  // The turn of a part comes after that of all others.
+/// Applies the state of the fleet that the leader sent. In a large fleet the
+/// loads that peers report themselves are seconds old; only the leader has
+/// recent ones from all.
+void PeerLink::ApplyFleetState(const gossip::Beacon& beacon, TimePoint now) {
+  // Each part is sent after all the others.
   const auto others =
       static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
   const TimePoint facts_until =
-      now + kFactsFor + this->rotation.CoordinatorPeriod() * others;
-  for (const gossip::KeyedEngineStatus& fact : beacon.engine_statuses) {
+      now + kStatusLifetime + this->schedule.CoordinatorPeriod() * others;
+  for (const gossip::KeyedEngineStatus& status : beacon.engine_statuses) {
     const endpoints::Endpoint* endpoint =
-        this->state.endpoints.FindByKey(fact.key);
+        this->state.endpoints.FindByKey(status.key);
     if (endpoint == nullptr) continue;
     this->state.loads.SetEngineStatus(
-        {endpoint->id, endpoint->start_time_ms, fact.layers, fact.slowdown,
-         fact.token_layers},
+        {endpoint->id, endpoint->start_time_ms, status.layers, status.slowdown,
+         status.token_layers},
         facts_until);
   }
-  const bool follows =
+  const bool is_follower =
       this->state.peers.IsLargeFleet(now) && !this->state.leads;
-  if (!follows) return;
+  if (!is_follower) return;
   this->state.ready_list.Update(beacon.ready_instances, now);
-  if (!beacon.backup_leaders.empty())
+  if (!beacon.backup_leaders.empty()) {
     this->SetBackupLeaders(beacon.backup_leaders);
+  }
   const std::string port = PortOf(this->settings.datagram_address);
   for (const std::uint32_t number : beacon.ready_instances) {
     this->state.peers.RecordLiveness(gossip::AddressOf(number, port), now);
   }
-  // Without loads, only one that hears all says that endpoints are idle.
-  const bool tells_loads =
+  // A beacon without loads means idle endpoints only if its sender has received
+  // the loads of all.
+  const bool has_loads =
       !beacon.fleet_loads.empty() || !beacon.ready_instances.empty();
-  // A backup leader adds up what it hears itself.
-  if (!tells_loads || this->state.is_backup_leader) return;
+  // A backup leader sums the loads that it receives itself.
+  if (!has_loads || this->state.is_backup_leader) return;
   this->fleet_loads.Update(beacon.covered_keys, beacon.fleet_loads);
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::KeyedLoad& load : this->fleet_loads.All()) {
@@ -448,46 +461,49 @@
   this->state.loads.SetFleetLoads(loads);
 }
 
-void PeerLink::AdoptProofs(TimePoint now) {
+void PeerLink::ApplyConfirmations(TimePoint now) {
   const auto configuration = this->state.peers.ConfigurationConfirmedAt(
       this->state.configuration_revision, now);
-  if (configuration && this->state.table) {
+  if (configuration && this->state.route_table) {
     this->state.freshness.Confirm(*configuration);
   }
   if (const auto answered = this->state.peers.StoreAnsweredAt(now)) {
     this->state.endpoints.OnStoreAnswered(*answered, now);
   }
   const std::uint64_t revision = this->state.endpoints.Revision();
-  const auto listed = this->state.peers.EndpointsConfirmedAt(revision, now);
-  if (!listed || revision == 0) return;
-  if (!this->state.endpoints.Confirm(*listed, now)) return;
-  this->lists.OnList(this->state.endpoints, ListCause::kGraceOver, true, 0,
-                     now);
+  const auto confirmed = this->state.peers.EndpointsConfirmedAt(revision, now);
+  if (!confirmed || revision == 0) return;
+  if (!this->state.endpoints.Confirm(*confirmed, now)) return;
+  this->endpoint_log.OnList(this->state.endpoints, ListCause::kGraceOver, true,
+                            0, now);
 }
 
-void PeerLink::AdoptSuspicion(const gossip::Suspicion& one, TimePoint now) {
+void PeerLink::ApplySuspicion(const gossip::Suspicion& suspicion,
+                              TimePoint now) {
   LoadTracker& loads = this->state.loads;
-  const TimePoint until = now + std::min(one.remaining, kLongestSuspicion);
-  if (!one.unresponsive) {
-    loads.Suspect(one.endpoint, until);
+  const TimePoint until = now + std::min(suspicion.remaining, kMaxSuspicion);
+  if (!suspicion.unresponsive) {
+    loads.Suspect(suspicion.endpoint, until);
     return;
   }
-  if (!loads.MarkReportedUnresponsive(one.endpoint, until, now)) return;
+  if (!loads.MarkReportedUnresponsive(suspicion.endpoint, until, now)) return;
   this->logger.Write(Level::kNotable, "peer_found_engine_silent",
-                     Fields().Text("endpoint", one.endpoint), now);
-  if (this->state.leads && this->state.peers.IsLargeFleet(now))
+                     Fields().Text("endpoint", suspicion.endpoint), now);
+  if (this->state.leads && this->state.peers.IsLargeFleet(now)) {
     this->Announce();
-  if (this->engine_silent) this->engine_silent(one.endpoint);
+  }
+  if (this->on_unresponsive) this->on_unresponsive(suspicion.endpoint);
 }
 
 void PeerLink::SumLoads(TimePoint now) {
   std::vector<gossip::EndpointLoad> loads;
   for (const gossip::Peer* peer : this->state.peers.AllLive(now)) {
-    const bool counts = !this->settings.mechanisms.silent_peers ||
-                        now - peer->last_beacon_at <= kLoadsCountFor;
-    if (!counts) continue;
-    const auto& theirs = peer->beacon.loads;
-    loads.insert(loads.end(), theirs.begin(), theirs.end());
+    const bool is_recent =
+        !this->settings.mechanisms.ignore_unresponsive_peers ||
+        now - peer->last_beacon_at <= kLoadLifetime;
+    if (!is_recent) continue;
+    const auto& peer_loads = peer->beacon.loads;
+    loads.insert(loads.end(), peer_loads.begin(), peer_loads.end());
   }
   this->state.loads.SetPeerLoads(loads);
 }
--- a/lib/instance/proxied_request.h
+++ b/lib/instance/proxied_request.h
@@ -17,9 +17,9 @@
 
 namespace toucanwharf::instance {
 
-/// An engine that refuses while more than this part of its room is taken, as
-/// far as is known, is taken as full.
-inline constexpr double kFull = 0.6;
+/// An engine that refuses while more than this share of its capacity is known
+/// to be in use counts as full.
+inline constexpr double kFullShare = 0.6;
 
 /// Returns whether \p endpoint runs one of \p stages. Thread safety: safe.
 inline bool RunsThrough(const std::vector<pipeline::Stage>& stages,
@@ -29,7 +29,7 @@
       [&](const pipeline::Stage& stage) { return stage.endpoint == endpoint; });
 }
 
-/// What the gateway knows of a request before it is passed on.
+/// What the gateway determined about a request at its admission.
 struct Admitted {
   std::shared_ptr<const routes::RouteTable> table;
   const routes::Route* route = nullptr;
@@ -41,32 +41,34 @@
   TimePoint deadline;
 };
 
-/// One request on its way: tries endpoints, hands the answer back, and goes on
-/// elsewhere when an endpoint fails. proxied_request.cc has its life from the
-/// first try to the end, proxied_request_target.cc where a try goes and what is
-/// sent there, proxied_request_stall.cc what is done when an endpoint says
-/// nothing. Thread safety: only on the loop's thread.
+/// One request: sends it to endpoints in one or more attempts, relays the
+/// answer, and resumes it at another endpoint when one fails. Kept alive by its
+/// pending callbacks. proxied_request.cc has the lifecycle from the first
+/// attempt to the end, proxied_request_target.cc the choice of endpoints and
+/// the request sent there, proxied_request_stall.cc the handling of
+/// unresponsive endpoints.
+/// Thread safety: only on the loop's thread.
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest> {
  public:
   ProxiedRequest(Gateway& owner, std::shared_ptr<http::Exchange> caller,
-                 Admitted what);
+                 Admitted admitted_request);
   ~ProxiedRequest();
   ProxiedRequest(const ProxiedRequest&) = delete;
   ProxiedRequest& operator=(const ProxiedRequest&) = delete;
 
   void Start();
-  /// Looks for room again. Returns whether this request need not wait any
-  /// longer: it was sent, refused, or its caller is gone.
+  /// Checks for capacity again. Returns whether this request leaves the queue:
+  /// it was sent, was refused, or its caller has disconnected.
   bool LeaveQueue();
-  /// Looks at once whether \p endpoint, which is silent, has stopped this
+  /// Checks immediately whether the unresponsive \p endpoint has stalled this
   /// answer.
-  void OnEngineSilent(const std::string& endpoint);
-  /// Returns what the answer shows of the engines that it runs through; nothing
-  /// before its first event from them.
-  std::optional<endpoints::LivenessEvidence> Sign() const;
+  void OnEngineUnresponsive(const std::string& endpoint);
+  /// Returns what the answer shows about the liveness of the engines on its
+  /// path; nothing before its first event from them.
+  std::optional<endpoints::LivenessEvidence> Liveness() const;
 
  private:
-  /// Where a try goes.
+  /// Where an attempt is sent.
   struct Target {
     std::string endpoint;
     std::string address;
@@ -75,15 +77,14 @@
   };
 
   bool IsStream() const {
-    return this->what.route->kind == routes::RequestKind::kStream;
+    return this->admitted.route->kind == routes::RequestKind::kStream;
   }
-  bool IsModel() const { return this->what.service->engine.has_value(); }
+  bool IsModel() const { return this->admitted.service->engine.has_value(); }
 
-  void Try();
-  std::optional<Target> Choose();
-  std::optional<Target> ChooseAgain(attempts::AttemptOutcome end);
-  /// \p current is the path of an answer that is led around an engine, else
-  /// empty.
+  void StartAttempt();
+  std::optional<Target> ChooseTarget();
+  std::optional<Target> ChooseForRetry(attempts::AttemptOutcome outcome);
+  /// \p current is the path of an answer that is being rerouted, else empty.
   std::optional<Target> ChoosePath(const std::vector<pipeline::Stage>& current);
   std::optional<Target> ChoosePlain();
   http::Request BuildRequest(const Target& target) const;
@@ -92,39 +93,40 @@
   void OnHead(const http::ResponseHead& head);
   void OnData(std::string_view bytes);
   void OnDone(const http::CallResult& result);
-  void JudgeHead(const http::ResponseHead& head);
+  void ClassifyHead(const http::ResponseHead& head);
   void BeginStream(const http::ResponseHead& head);
   void FinishPlain();
-  void EndTry(attempts::AttemptOutcome end, std::string_view why);
-  void Proceed(attempts::AttemptOutcome end, std::string_view why);
+  void EndAttempt(attempts::AttemptOutcome outcome, std::string_view reason);
+  void Proceed(attempts::AttemptOutcome outcome, std::string_view reason);
 
   bool MayQueue() const;
-  void WatchSilence(Duration delay);
-  Duration Patience() const;
-  void OnSilence();
-  /// Returns whether an engine of the path is known to be silent.
-  bool HasSilentEngine() const;
-  void AskEngines();
-  void OnFirstEngine(const ProbeAnswer& answer);
-  void GoAround();
-  bool HasPlaceElsewhere();
-  void TryElsewhere(std::string_view why);
-  void Repath();
-  void OnRepathed(const std::vector<pipeline::Stage>& stages, int status,
+  void WatchStall(Duration delay);
+  Duration StallTimeout() const;
+  void OnStall();
+  /// Returns whether an engine of the path is known to be unresponsive.
+  bool HasFailedEngine() const;
+  void ProbePath();
+  void OnFirstEngineProbed(const ProbeAnswer& answer);
+  void Recover();
+  bool CanResumeElsewhere();
+  void ResumeElsewhere(std::string_view reason);
+  void Reroute();
+  void OnRerouted(const std::vector<pipeline::Stage>& stages, int status,
                   const std::string& body);
-  void OnRepathRefused(const std::vector<pipeline::Stage>& stages,
-                       const std::string& fault);
-  void NoteSilentAt(const std::string& address);
+  void OnRerouteRefused(const std::vector<pipeline::Stage>& stages,
+                        const std::string& fault);
+  void SetUnresponsiveAt(const std::string& address);
   void CountLoad();
-  double RoomUsed(const std::string& id) const;
-  /// Keeps new work from \p endpoint, which refused, \p full or not.
-  void NoteRefusal(const std::string& endpoint, bool full);
-  void AwaitPlace(attempts::AttemptOutcome end, std::string_view why);
+  double CapacityUsed(const std::string& id) const;
+  /// Pauses new work for \p endpoint, which refused; \p full says whether its
+  /// capacity was in use.
+  void RecordRefusal(const std::string& endpoint, bool full);
+  void AwaitCapacity(attempts::AttemptOutcome outcome, std::string_view reason);
   void OnDeadline();
-  void OnCallerGone();
+  void OnCallerDisconnected();
 
-  void Refuse(std::string_view why);
-  void Fail(int status, std::string_view why);
+  void Refuse(std::string_view reason);
+  void Fail(int status, std::string_view reason);
   void Finish(std::string_view outcome, int status);
   void CancelCall();
   void ReleaseLoad();
@@ -133,45 +135,45 @@
 
   Gateway& gateway;
   std::shared_ptr<http::Exchange> exchange;
-  Admitted what;
+  Admitted admitted;
   std::string request_id;
   double prompt_tokens = 0;
   double output_tokens = 0;
 
-  attempts::AttemptCounts tries;
+  attempts::AttemptCounts attempt_counts;
   std::set<std::string> excluded;
   Target target;
-  std::vector<gossip::EndpointLoad> counted;
+  std::vector<gossip::EndpointLoad> counted_loads;
   http::CallId call = 0;
   http::TimerId deadline_timer = 0;
-  http::TimerId silence_timer = 0;
-  /// The first engine is being asked for its report.
-  bool asking = false;
-  /// An order to change the path is on its way.
-  bool changing_path = false;
-  /// Questions since the last event.
-  int asked_again = 0;
-  /// Changes of path that were refused since the last event.
-  int refused_changes = 0;
-  attempts::StallDetector pace;
+  http::TimerId stall_timer = 0;
+  /// A probe of the first engine is in flight.
+  bool probing = false;
+  /// An order to change the path is in flight.
+  bool rerouting = false;
+  /// Probes since the last event.
+  int repeated_probes = 0;
+  /// Refused reroutes since the last event.
+  int refused_reroutes = 0;
+  attempts::StallDetector detector;
   Duration first_event_after{0};
-  TimePoint try_began;
+  TimePoint attempt_started;
   TimePoint last_data;
 
   http::ResponseHead head;
   bool has_head = false;
-  /// The head is one that can be handed on.
-  bool head_good = false;
-  std::optional<attempts::AttemptOutcome> head_verdict;
+  /// The head can be relayed.
+  bool head_usable = false;
+  std::optional<attempts::AttemptOutcome> head_outcome;
   std::string body;
   http::EventSplitter events;
-  bool any_event = false;
-  /// Pieces of the body handed out.
+  bool has_event = false;
+  /// Pieces of the body relayed.
   std::int64_t chunks_written = 0;
   bool finished = false;
-  /// The caller is gone, and the work goes on.
+  /// The caller has disconnected, but the work continues.
   bool abandoned = false;
-  placement::NoPathReason lack = placement::NoPathReason::kNone;
+  placement::NoPathReason no_path_reason = placement::NoPathReason::kNone;
 };
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/proxied_request_stall.cc
+++ b/lib/instance/proxied_request_stall.cc
@@ -11,70 +11,71 @@
 using eventlog::Fields;
 using eventlog::Level;
 
-/// An engine's report is some hundred milliseconds old, so the first question
-/// may come too early. Each further one waits twice as long: under overload
-/// every answer is silent for a while, and a question costs the engine a probe.
-constexpr Duration kAskAgain = std::chrono::milliseconds(70);
-constexpr int kMostAskDoublings = 3;
-/// A report serves all answers that ask for it within this time.
-constexpr Duration kReportLives = std::chrono::milliseconds(80);
-/// What other answers showed of an engine counts if it came after this part of
-/// the silence: what it had passed on before it died may still arrive then.
-constexpr int kSignAfterPercent = 60;
+/// An engine's report is some hundred milliseconds old, so the first probe may
+/// come too early. The interval doubles with each further probe: under overload
+/// every answer stalls for a while, and each probe costs the engine a request.
+constexpr Duration kProbeInterval = std::chrono::milliseconds(70);
+constexpr int kMaxProbeDoublings = 3;
+/// A report serves all answers that need it within this time.
+constexpr Duration kMaxReportAge = std::chrono::milliseconds(80);
+/// Evidence from other answers counts if it came after this share of the stall:
+/// earlier events may have been passed on by the engine before it died.
+constexpr int kEvidenceAfterPercent = 60;
 constexpr int kPercent = 100;
-/// Questions in vain put further ones off up to here, where callers' pause is
-/// nearly over.
-constexpr Duration kMostRestrained = std::chrono::milliseconds(160);
-/// Ways around that were refused, after which the answer goes on elsewhere.
-constexpr int kMostRefusedChanges = 2;
-/// An answer that is silent for so long though its engine names nobody is
-/// tried elsewhere: callers leave after two seconds.
-constexpr Duration kLongSilence = std::chrono::milliseconds(1200);
-/// Callers leave a stream after two seconds without an event, or later where
-/// their objective is long; until then an answer that lost its path may find
-/// another, and the caller's own close ends the wait.
-constexpr Duration kCallersPatience = std::chrono::seconds(4);
-/// Between looks for a place for an answer that lost its own.
-constexpr Duration kPlaceLook = std::chrono::milliseconds(60);
-/// An engine answers an order in a millisecond; without an answer the change of
-/// path may not have been taken.
-constexpr Duration kRepathTimeout = std::chrono::milliseconds(100);
-/// An idempotent request without any answer for so long is tried elsewhere.
-constexpr Duration kPlainSilence = std::chrono::milliseconds(400);
+/// Fruitless probes delay further ones up to this limit, at which the clients'
+/// pause objective has nearly passed.
+constexpr Duration kMaxStallTimeout = std::chrono::milliseconds(160);
+/// After this many refused reroutes the answer resumes on another path.
+constexpr int kMaxRefusedReroutes = 2;
+/// An answer that stalls for this long although its engine names no cause is
+/// resumed elsewhere: clients disconnect after two seconds.
+constexpr Duration kLongStall = std::chrono::milliseconds(1200);
+/// Client idle timeout of a stream: two seconds without an event, or more where
+/// the objective is long. Until then an answer that lost its path may find
+/// another, and the client's disconnect ends the wait.
+constexpr Duration kClientIdleTimeout = std::chrono::seconds(4);
+/// Between checks for capacity for an answer that lost its path.
+constexpr Duration kCapacityPollPeriod = std::chrono::milliseconds(60);
+/// An engine answers an order in a millisecond; without an answer the reroute
+/// may not have been applied.
+constexpr Duration kRerouteTimeout = std::chrono::milliseconds(100);
+/// An idempotent request without any answer for this long is sent elsewhere.
+constexpr Duration kPlainTimeout = std::chrono::milliseconds(400);
 
 }  // namespace
 
-/// Part of the answer is out, and nowhere is room for the rest of it yet. The
-/// caller waits for the next event anyway, so the answer is given up only when
-/// the caller would be gone.
-void ProxiedRequest::AwaitPlace(AttemptOutcome end, std::string_view why) {
+/// Part of the answer has been relayed, and no endpoint has capacity for the
+/// rest yet. The caller waits for the next event anyway, so the answer is
+/// aborted only after the client idle timeout.
+void ProxiedRequest::AwaitCapacity(AttemptOutcome outcome,
+                                   std::string_view reason) {
   const TimePoint now = this->gateway.loop.Now();
-  if (now - this->last_data > kCallersPatience) {
+  if (now - this->last_data > kClientIdleTimeout) {
     ++this->gateway.counters.aborted;
     this->exchange->Abort();
     this->Finish("broken_off", 0);
     return;
   }
-  this->gateway.loop.Cancel(this->silence_timer);
-  this->silence_timer = this->gateway.loop.After(
-      kPlaceLook,
-      [self = this->shared_from_this(), end, reason = std::string(why)] {
-        if (!self->finished) self->Proceed(end, reason);
+  this->gateway.loop.Cancel(this->stall_timer);
+  this->stall_timer = this->gateway.loop.After(
+      kCapacityPollPeriod, [self = this->shared_from_this(), outcome,
+                            reason_text = std::string(reason)] {
+        if (!self->finished) self->Proceed(outcome, reason_text);
       });
 }
 
-Duration ProxiedRequest::Patience() const {
-  if (!this->IsStream()) return kPlainSilence;
-  if (this->HasSilentEngine()) return this->pace.SuspectedStallTimeout();
-  const Duration usual = this->pace.StallTimeout();
+Duration ProxiedRequest::StallTimeout() const {
+  if (!this->IsStream()) return kPlainTimeout;
+  if (this->HasFailedEngine()) return this->detector.SuspectedStallTimeout();
+  const Duration base = this->detector.StallTimeout();
   const double factor =
-      this->gateway.restraint.Factor(this->gateway.loop.Now());
-  const Duration restrained(
-      static_cast<std::int64_t>(static_cast<double>(usual.count()) * factor));
-  return std::max(usual, std::min(restrained, kMostRestrained));
+      this->gateway.probe_backoff.Factor(this->gateway.loop.Now());
+  const Duration backed_off(
+      static_cast<std::int64_t>(static_cast<double>(base.count()) * factor));
+  return std::max(base, std::min(backed_off, kMaxStallTimeout));
 }
 
-bool ProxiedRequest::HasSilentEngine() const {
+bool ProxiedRequest::HasFailedEngine() const {
   const TimePoint now = this->gateway.loop.Now();
   const auto& stages = this->target.stages;
   return std::any_of(stages.begin(), stages.end(), [&](const auto& stage) {
@@ -82,180 +83,184 @@
   });
 }
 
-std::optional<endpoints::LivenessEvidence> ProxiedRequest::Sign() const {
-  const bool shows =
-      this->call != 0 && this->any_event && this->last_data > this->try_began;
-  if (!shows) return std::nullopt;
+std::optional<endpoints::LivenessEvidence> ProxiedRequest::Liveness() const {
+  const bool has_evidence = this->call != 0 && this->has_event &&
+                            this->last_data > this->attempt_started;
+  if (!has_evidence) return std::nullopt;
   return endpoints::LivenessEvidence{this->target.stages, this->last_data};
 }
 
-void ProxiedRequest::OnEngineSilent(const std::string& endpoint) {
+void ProxiedRequest::OnEngineUnresponsive(const std::string& endpoint) {
   if (this->finished || this->call == 0) return;
   if (!RunsThrough(this->target.stages, endpoint)) return;
-  this->WatchSilence(std::max(
+  this->WatchStall(std::max(
       Duration(0),
-      this->Patience() - (this->gateway.loop.Now() - this->last_data)));
+      this->StallTimeout() - (this->gateway.loop.Now() - this->last_data)));
 }
 
-void ProxiedRequest::WatchSilence(Duration delay) {
-  if (!this->what.route->Repeatable()) return;
-  this->gateway.loop.Cancel(this->silence_timer);
-  this->silence_timer =
+void ProxiedRequest::WatchStall(Duration delay) {
+  if (!this->admitted.route->Repeatable()) return;
+  this->gateway.loop.Cancel(this->stall_timer);
+  this->stall_timer =
       this->gateway.loop.After(delay, [weak = this->weak_from_this()] {
-        if (const auto self = weak.lock()) self->OnSilence();
+        if (const auto self = weak.lock()) self->OnStall();
       });
 }
 
-void ProxiedRequest::OnSilence() {
-  if (this->finished || this->call == 0 || this->changing_path) return;
-  const Duration silent = this->gateway.loop.Now() - this->last_data;
-  const Duration left = this->Patience() - silent;
-  if (left > Duration(0)) {
-    this->WatchSilence(left);
+void ProxiedRequest::OnStall() {
+  if (this->finished || this->call == 0 || this->rerouting) return;
+  const Duration stalled = this->gateway.loop.Now() - this->last_data;
+  const Duration remaining = this->StallTimeout() - stalled;
+  if (remaining > Duration(0)) {
+    this->WatchStall(remaining);
     return;
   }
   if (!this->IsModel()) {
-    this->TryElsewhere("silent");
+    this->ResumeElsewhere("silent");
     return;
   }
-  if (this->HasSilentEngine()) {
-    this->GoAround();
+  if (this->HasFailedEngine()) {
+    this->Recover();
     return;
   }
-  this->AskEngines();
+  this->ProbePath();
 }
 
-/// Asks the first engine why no event comes, and those of the others that may
-/// be the cause whether they live: the first engine's report tells of a silent
-/// one only after some hundred milliseconds.
-void ProxiedRequest::AskEngines() {
-  if (this->asking) return;
-  this->asking = true;
+/// Requests the first engine's report of the cause, and probes those of the
+/// other engines that may be the cause: the first engine's report names an
+/// unresponsive one only after some hundred milliseconds.
+void ProxiedRequest::ProbePath() {
+  if (this->probing) return;
+  this->probing = true;
   const TimePoint now = this->gateway.loop.Now();
-  this->gateway.probe.Ask(
-      this->target.address, now - kReportLives, this->gateway.Askers(),
+  this->gateway.probe.Check(
+      this->target.address, now - kMaxReportAge,
+      this->gateway.ConcurrentProbers(),
       [self = this->shared_from_this(),
-       asked_of = this->call](const ProbeAnswer& answer) {
-        self->asking = false;
-        const bool same = !self->finished && self->call == asked_of;
-        if (same) self->OnFirstEngine(answer);
+       probed_call = this->call](const ProbeAnswer& answer) {
+        self->probing = false;
+        const bool current = !self->finished && self->call == probed_call;
+        if (current) self->OnFirstEngineProbed(answer);
       });
-  if (!this->gateway.AsksWholePaths(now)) return;
+  if (!this->gateway.ProbesWholePaths(now)) return;
   const TimePoint since =
-      this->last_data + this->Patience() * kSignAfterPercent / kPercent;
-  auto doubted = endpoints::EnginesWithoutEvidence(
-      this->target.stages, since, this->gateway.SignsBeside(*this));
-  std::erase_if(doubted, [this](const pipeline::Stage& stage) {
+      this->last_data + this->StallTimeout() * kEvidenceAfterPercent / kPercent;
+  auto suspects = endpoints::EnginesWithoutEvidence(
+      this->target.stages, since, this->gateway.EvidenceExcept(*this));
+  std::erase_if(suspects, [this](const pipeline::Stage& stage) {
     return stage.endpoint == this->target.endpoint;
   });
-  this->gateway.Doubt(doubted, since);
+  this->gateway.ProbeEngines(suspects, since);
 }
 
-/// The first engine of the path has said why no event came, or nothing.
-void ProxiedRequest::OnFirstEngine(const ProbeAnswer& answer) {
-  const Duration silent = this->gateway.loop.Now() - this->last_data;
-  if (silent < this->Patience()) {
-    this->WatchSilence(this->Patience() - silent);
+/// Handles the result of probing the first engine of the path.
+void ProxiedRequest::OnFirstEngineProbed(const ProbeAnswer& answer) {
+  const Duration stalled = this->gateway.loop.Now() - this->last_data;
+  if (stalled < this->StallTimeout()) {
+    this->WatchStall(this->StallTimeout() - stalled);
     return;
   }
   if (!answer.alive) {
-    this->NoteSilentAt(this->target.address);
-    this->GoAround();
+    this->SetUnresponsiveAt(this->target.address);
+    this->Recover();
     return;
   }
   if (answer.report) {
-    for (const StalledAnswer& one : answer.report->stalled) {
-      this->NoteSilentAt(one.address);
+    for (const StalledAnswer& blocked : answer.report->stalled) {
+      this->SetUnresponsiveAt(blocked.address);
     }
   }
-  if (this->changing_path) return;
-  if (this->HasSilentEngine()) {
-    this->GoAround();
+  if (this->rerouting) return;
+  if (this->HasFailedEngine()) {
+    this->Recover();
     return;
   }
-  if (silent > kLongSilence) {
-    this->TryElsewhere("silent");
+  if (stalled > kLongStall) {
+    this->ResumeElsewhere("silent");
     return;
   }
-  this->WatchSilence(kAskAgain * (1 << this->asked_again));
-  this->asked_again = std::min(this->asked_again + 1, kMostAskDoublings);
+  this->WatchStall(kProbeInterval * (1 << this->repeated_probes));
+  this->repeated_probes =
+      std::min(this->repeated_probes + 1, kMaxProbeDoublings);
 }
 
-/// Takes the engine at \p address as silent, which leads the answers around it
-/// that have stopped, this one too.
-void ProxiedRequest::NoteSilentAt(const std::string& address) {
+/// Records the engine at \p address as unresponsive, which resumes or reroutes
+/// the stalled answers that run through it, including this one.
+void ProxiedRequest::SetUnresponsiveAt(const std::string& address) {
   const auto stages = this->target.stages;
   for (const pipeline::Stage& stage : stages) {
-    if (stage.address == address) this->gateway.NoteSilent(stage.endpoint);
+    if (stage.address == address) this->gateway.SetUnresponsive(stage.endpoint);
   }
 }
 
-/// Goes on with the answer without the engine that is silent. It begins anew on
-/// another path where that is allowed: all answers of a path stop together, and
-/// one stand-in would have to read them all, while other paths share the work.
-void ProxiedRequest::GoAround() {
+/// Continues the answer without the unresponsive engine. It resumes on another
+/// path where that is allowed: all answers of a path stall together, and a
+/// single replacement engine would have to read them all, while other paths
+/// share the work.
+void ProxiedRequest::Recover() {
   ++this->gateway.counters.stalls;
   const TimePoint now = this->gateway.loop.Now();
-  const bool first_silent =
+  const bool first_unresponsive =
       this->gateway.state.loads.IsUnresponsive(this->target.endpoint, now);
   const bool resume_first = this->gateway.settings.mechanisms.resume_first;
-  if (first_silent || (resume_first && this->HasPlaceElsewhere())) {
-    this->TryElsewhere("engine_silent");
+  if (first_unresponsive || (resume_first && this->CanResumeElsewhere())) {
+    this->ResumeElsewhere("engine_silent");
     return;
   }
-  this->Repath();
+  this->Reroute();
 }
 
-bool ProxiedRequest::HasPlaceElsewhere() {
-  return attempts::MayRetry(*this->what.route, this->tries,
+bool ProxiedRequest::CanResumeElsewhere() {
+  return attempts::MayRetry(*this->admitted.route, this->attempt_counts,
                             AttemptOutcome::kUnknown) &&
-         this->gateway.budget.HasExtra(this->what.service->name,
+         this->gateway.budget.HasExtra(this->admitted.service->name,
                                        this->gateway.loop.Now()) &&
-         this->Choose().has_value();
+         this->ChooseTarget().has_value();
 }
 
-/// Ends the try under way if there is another place; a silent endpoint may
-/// still answer, and is better than none.
-void ProxiedRequest::TryElsewhere(std::string_view why) {
-  if (!this->HasPlaceElsewhere()) {
-    this->WatchSilence(kPlaceLook);
+/// Ends the current attempt if another path is available; an unresponsive
+/// endpoint may still answer, and is better than none.
+void ProxiedRequest::ResumeElsewhere(std::string_view reason) {
+  if (!this->CanResumeElsewhere()) {
+    this->WatchStall(kCapacityPollPeriod);
     return;
   }
-  this->EndTry(AttemptOutcome::kUnknown, why);
+  this->EndAttempt(AttemptOutcome::kUnknown, reason);
 }
 
-/// Leads the answer around the engines that are silent. The engines that stay
-/// keep what they hold of it, so only the new ones read it again.
-void ProxiedRequest::Repath() {
+/// Replaces the unresponsive engines of the path. The remaining engines keep
+/// their state of the answer, so only the new ones read it again.
+void ProxiedRequest::Reroute() {
   const auto next = this->ChoosePath(this->target.stages);
   if (!next) {
-    this->TryElsewhere("no_way_around");
+    this->ResumeElsewhere("no_way_around");
     return;
   }
-  this->changing_path = true;
+  this->rerouting = true;
   http::Request order =
-      this->gateway.calls.repath(RerouteOrder{this->request_id, next->stages});
+      this->gateway.calls.reroute(RerouteOrder{this->request_id, next->stages});
   order.headers.Set(this->gateway.names.expected_endpoint,
                     this->target.endpoint);
   http::Fetch(this->gateway.loop, this->gateway.client, this->target.address,
-              order, kRepathTimeout,
-              [self = this->shared_from_this(), asked_of = this->call,
+              order, kRerouteTimeout,
+              [self = this->shared_from_this(), probed_call = this->call,
                stages = next->stages](const http::CallResult& result,
                                       const http::ResponseHead& head,
                                       const std::string& body) {
-                self->changing_path = false;
-                const bool same = !self->finished && self->call == asked_of;
-                const bool whole = result.end == http::CallEnd::kComplete;
-                if (same) {
-                  self->OnRepathed(stages, whole ? head.status : 0, body);
+                self->rerouting = false;
+                const bool current =
+                    !self->finished && self->call == probed_call;
+                const bool complete = result.end == http::CallEnd::kComplete;
+                if (current) {
+                  self->OnRerouted(stages, complete ? head.status : 0, body);
                 }
               });
 }
 
-void ProxiedRequest::OnRepathed(const std::vector<pipeline::Stage>& stages,
+void ProxiedRequest::OnRerouted(const std::vector<pipeline::Stage>& stages,
                                 int status, const std::string& body) {
   const TimePoint now = this->gateway.loop.Now();
-  const std::string fault = this->gateway.calls.repath_fault(body);
+  const std::string fault = this->gateway.calls.reroute_fault(body);
   this->Log(Level::kNotable, "repathed",
             Fields()
                 .Text("endpoint", this->target.endpoint)
@@ -264,22 +269,22 @@
                 .Millis("silent_ms", now - this->last_data));
   constexpr int kRefused = 400;
   if (status == 0 || status >= kRefused) {
-    this->OnRepathRefused(stages, fault);
+    this->OnRerouteRefused(stages, fault);
     return;
   }
   ++this->gateway.counters.rerouted;
   this->ReleaseLoad();
   this->target.stages = stages;
   this->CountLoad();
-  this->asked_again = 0;
+  this->repeated_probes = 0;
   // The new engines read the answer so far before the next event.
-  this->WatchSilence(this->what.route->pause_objective);
+  this->WatchStall(this->admitted.route->pause_objective);
 }
 
-/// Tries another way around, without the engine that has no room or has lost
-/// its part, while the answer's caller still waits.
-void ProxiedRequest::OnRepathRefused(const std::vector<pipeline::Stage>& stages,
-                                     const std::string& fault) {
+/// Retries the reroute without the engine that has no capacity or has lost its
+/// state, or else resumes the answer elsewhere.
+void ProxiedRequest::OnRerouteRefused(
+    const std::vector<pipeline::Stage>& stages, const std::string& fault) {
   bool named = false;
   for (const pipeline::Stage& stage : stages) {
     if (stage.address != fault || stage.endpoint == this->target.endpoint) {
@@ -287,13 +292,14 @@
     }
     named = true;
     this->excluded.insert(stage.endpoint);
-    this->NoteRefusal(stage.endpoint, this->RoomUsed(stage.endpoint) > kFull);
+    this->RecordRefusal(stage.endpoint,
+                        this->CapacityUsed(stage.endpoint) > kFullShare);
   }
-  if (named && ++this->refused_changes <= kMostRefusedChanges) {
-    this->Repath();
+  if (named && ++this->refused_reroutes <= kMaxRefusedReroutes) {
+    this->Reroute();
     return;
   }
-  this->TryElsewhere("repath_refused");
+  this->ResumeElsewhere("repath_refused");
 }
 
 }  // namespace toucanwharf::instance
--- a/lib/instance/proxied_request_target.cc
+++ b/lib/instance/proxied_request_target.cc
@@ -6,7 +6,7 @@
 
 namespace toucanwharf::instance {
 
-std::optional<ProxiedRequest::Target> ProxiedRequest::Choose() {
+std::optional<ProxiedRequest::Target> ProxiedRequest::ChooseTarget() {
   return this->IsModel() ? this->ChoosePath({}) : this->ChoosePlain();
 }
 
@@ -16,12 +16,13 @@
   const TimePoint now = this->gateway.loop.Now();
   std::vector<placement::Engine> engines;
   state.endpoints.ForEachReady(
-      this->what.service->name, [&](const endpoints::Endpoint& endpoint) {
-        // A full engine can keep what it holds of the answer.
-        const bool held = RunsThrough(current, endpoint.id);
-        const bool unfit = held ? state.loads.IsUnresponsive(endpoint.id, now)
-                                : state.loads.IsSuspected(endpoint.id, now);
-        if (unfit) return;
+      this->admitted.service->name, [&](const endpoints::Endpoint& endpoint) {
+        // A full engine can keep the state that it holds of the answer.
+        const bool on_path = RunsThrough(current, endpoint.id);
+        const bool unusable = on_path
+                                  ? state.loads.IsUnresponsive(endpoint.id, now)
+                                  : state.loads.IsSuspected(endpoint.id, now);
+        if (unusable) return;
         engines.push_back(state.loads.ToEngine(endpoint, now));
       });
   placement::PathQuery query;
@@ -32,21 +33,22 @@
   query.excluded = this->excluded;
   placement::PathSettings settings;
   const Mechanisms& mechanisms = this->gateway.settings.mechanisms;
-  settings.price_congestion = mechanisms.crowding_price;
+  settings.price_congestion = mechanisms.price_congestion;
   if (state.peers.IsLargeFleet(now)) {
     if (mechanisms.entry_choices) {
       settings.entry_choices = placement::kEntryChoicesInLargeFleet;
     }
     settings.capacity_share = placement::kCapacityShareInLargeFleet;
   }
-  // Answers that lost an engine come all at once and from all instances.
-  if (this->tries.answer_started && mechanisms.spread_resumed) {
+  // Answers that lost an engine are resumed at the same moment by all
+  // instances.
+  if (this->attempt_counts.answer_started && mechanisms.spread_resumed) {
     settings.entry_choices = placement::kEntryChoicesForResumed;
   }
   const placement::PathChoice choice =
-      placement::FindPath(*this->what.service->engine, engines, query, settings,
-                          this->gateway.random);
-  this->lack = choice.no_path_reason;
+      placement::FindPath(*this->admitted.service->engine, engines, query,
+                          settings, this->gateway.random);
+  this->no_path_reason = choice.no_path_reason;
   if (!choice.path) return std::nullopt;
   const pipeline::Stage& first = choice.path->stages.front();
   return Target{first.endpoint, first.address, choice.path->stages,
@@ -57,18 +59,18 @@
   InstanceState& state = this->gateway.state;
   const TimePoint now = this->gateway.loop.Now();
   std::optional<Target> best;
-  double least = 0;
+  double lowest_cost = 0;
   state.endpoints.ForEachReady(
-      this->what.service->name, [&](const endpoints::Endpoint& endpoint) {
+      this->admitted.service->name, [&](const endpoints::Endpoint& endpoint) {
         if (this->excluded.contains(endpoint.id)) return;
         const gossip::EndpointLoad load = state.loads.Total(endpoint.id);
-        // Suspected endpoints only when there is no other.
+        // Suspected endpoints are used only if there is no other.
         constexpr double kSuspectedCost = 1000;
         const double cost =
             (load.answers + this->gateway.random.Unit()) / endpoint.slots +
             (state.loads.IsSuspected(endpoint.id, now) ? kSuspectedCost : 0);
-        if (best && cost >= least) return;
-        least = cost;
+        if (best && cost >= lowest_cost) return;
+        lowest_cost = cost;
         best = Target{endpoint.id, endpoint.address, {}, 0};
       });
   return best;
@@ -82,17 +84,17 @@
   request.target = received.target;
   request.body = received.body;
   request.headers = http::EndToEnd(received.headers);
-  if (!this->what.table->All().customers.empty()) {
+  if (!this->admitted.table->All().customers.empty()) {
     request.headers.Remove(names.authorization);
   }
   request.headers.Remove(names.customer);
-  if (!this->what.customer.empty()) {
-    request.headers.Set(names.customer, this->what.customer);
+  if (!this->admitted.customer.empty()) {
+    request.headers.Set(names.customer, this->admitted.customer);
   }
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-      this->what.deadline - this->gateway.loop.Now());
-  request.headers.Set(names.deadline,
-                      absl::StrCat(std::max<std::int64_t>(left.count(), 1)));
+  const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
+      this->admitted.deadline - this->gateway.loop.Now());
+  request.headers.Set(names.deadline, absl::StrCat(std::max<std::int64_t>(
+                                          remaining.count(), 1)));
   request.headers.Set(names.expected_endpoint, to.endpoint);
   request.headers.Remove(names.path);
   if (!to.stages.empty()) {
@@ -108,14 +110,14 @@
   const double tokens = this->prompt_tokens + this->output_tokens;
   const Target& to = this->target;
   if (to.stages.empty()) {
-    this->counted.push_back({to.endpoint, 1, 0, 1});
+    this->counted_loads.push_back({to.endpoint, 1, 0, 1});
   }
   for (const pipeline::Stage& stage : to.stages) {
     const bool first = stage.endpoint == to.endpoint;
-    this->counted.push_back(
+    this->counted_loads.push_back(
         {stage.endpoint, 1, tokens * stage.layers.Count(), first ? 1.0 : 0.0});
   }
-  for (const auto& load : this->counted) {
+  for (const auto& load : this->counted_loads) {
     this->gateway.state.loads.AddInFlight(load);
   }
 }
--- a/lib/instance/registration.cc
+++ b/lib/instance/registration.cc
@@ -18,10 +18,10 @@
 
 std::optional<Registration> RegistrationFromText(const std::string& text) {
   const Json json = Json::parse(text, nullptr, false);
-  // An instance of an older build writes its address alone.
+  // An instance of an older build writes only its address.
   if (json.is_string()) return Registration{json.get<std::string>(), "", 0};
   if (!json.is_object()) return std::nullopt;
-  // One of another build may leave members out; such a text is none.
+  // An instance of another build may omit members; such a text is rejected.
   try {
     return Registration{json.at("address").get<std::string>(),
                         json.at("domain").get<std::string>(),
--- a/unittests/instance/mechanisms_test.cc
+++ b/unittests/instance/mechanisms_test.cc
@@ -5,20 +5,20 @@
 namespace toucanwharf::instance {
 namespace {
 
-BOOST_AUTO_TEST_CASE(NamedMechanismsAreOff) {
+BOOST_AUTO_TEST_CASE(NamedMechanismsAreDisabled) {
   const ParsedMechanisms parsed =
       WithoutMechanisms("room-queue,spread-resumed");
   BOOST_TEST(parsed.problems.empty());
   Mechanisms expected;
-  expected.room_queue = false;
+  expected.capacity_queue = false;
   expected.spread_resumed = false;
   BOOST_TEST((parsed.mechanisms == expected));
   BOOST_TEST((WithoutMechanisms("").mechanisms == Mechanisms()));
 }
 
-// A name with a typing error would leave the mechanism on and the measurement
-// worthless; the operator is told which names there are.
-BOOST_AUTO_TEST_CASE(UnknownNameIsNamedWithTheKnownOnes) {
+// Guards against a misspelled name that leaves the mechanism enabled and makes
+// the measurement worthless: the operator gets the list of known names.
+BOOST_AUTO_TEST_CASE(UnknownNameIsReportedWithTheKnownOnes) {
   const ParsedMechanisms parsed = WithoutMechanisms("room-queue,rom-queue");
   BOOST_REQUIRE(parsed.problems.size() == 1U);
   BOOST_TEST(parsed.problems[0].find("'rom-queue'") != std::string::npos);
--- a/unittests/instance/registration_test.cc
+++ b/unittests/instance/registration_test.cc
@@ -5,20 +5,20 @@
 namespace toucanwharf::instance {
 namespace {
 
-BOOST_AUTO_TEST_CASE(RegistrationSurvivesTheStore) {
-  const Registration own{"10.0.0.1:80", "a", 0.5};
-  BOOST_CHECK(RegistrationFromText(ToText(own)) == own);
+BOOST_AUTO_TEST_CASE(RegistrationCanBeReadBack) {
+  const Registration registration{"10.0.0.1:80", "a", 0.5};
+  BOOST_CHECK(RegistrationFromText(ToText(registration)) == registration);
 }
 
-// Guards against a new instance that doesn't find those of the build before.
+// Guards against a new instance that does not find those of the previous build.
 BOOST_AUTO_TEST_CASE(AddressAloneIsARegistration) {
   const auto read = RegistrationFromText("\"10.0.0.1:80\"");
   BOOST_REQUIRE(read.has_value());
   BOOST_TEST(read->address == "10.0.0.1:80");
 }
 
-// Guards against an entry of another writer that ends the process.
-BOOST_AUTO_TEST_CASE(OtherEntriesAreNone) {
+// Guards against an entry of another writer that terminates the process.
+BOOST_AUTO_TEST_CASE(MalformedEntriesAreRejected) {
   for (const char* text : {"", "7", "{", "[]", "{}", "{\"address\":1}",
                            "{\"address\":\"x\",\"domain\":2,\"share\":3}"}) {
     BOOST_CHECK(!RegistrationFromText(text));
--- a/unittests/instance/snapshot_exchange_test.cc
+++ b/unittests/instance/snapshot_exchange_test.cc
@@ -26,10 +26,10 @@
 std::string LargeText() {
   constexpr int kRoutes = 1240;
   std::string text;
-  for (int at = 0; at < kRoutes; ++at) {
+  for (int i = 0; i < kRoutes; ++i) {
     text +=
-        R"({"name":"r-)" + std::to_string(HashText(std::to_string(at))) +
-        R"(","host":"calls.example","path_prefix":"/)" + std::to_string(at) +
+        R"({"name":"r-)" + std::to_string(HashText(std::to_string(i))) +
+        R"(","host":"calls.example","path_prefix":"/)" + std::to_string(i) +
         R"(/","kind":"stream","timeout_ms":20000,"slo_ms":600,"priority":1,)"
         R"("service":"model","max_attempts":2,"public":false,"sticky":true,)"
         R"("resumable":true,"gap_aim_ms":300},)";
@@ -37,7 +37,7 @@
   return text;
 }
 
-/// One instance's copies, on a loop that it shares with others.
+/// One instance's snapshot exchange, on a loop that it shares with others.
 class Holder {
  public:
   Holder(http::Loop& event_loop, const std::string& name)
@@ -45,26 +45,26 @@
         state(InstanceSettings{}, name),
         logger(STDERR_FILENO, name),
         client(event_loop),
-        copies(event_loop, this->client, this->state, this->logger, this->lists,
-               "domain") {
-    this->copies.Start(
+        snapshots(event_loop, this->client, this->state, this->logger,
+                  this->endpoint_log, "domain") {
+    this->snapshots.Start(
         [this](std::uint64_t revision, const std::string& text) {
           this->state.configuration_revision = revision;
           this->state.configuration_text = text;
-          ++this->taken;
+          ++this->configurations_applied;
         },
         [] {});
     auto listening = http::Server::Listen(
         event_loop, "127.0.0.1:0", [this](const auto& exchange) {
-          ++this->asked;
-          BOOST_TEST(this->copies.Handle(exchange));
+          ++this->requests_received;
+          BOOST_TEST(this->snapshots.Handle(exchange));
         });
     BOOST_REQUIRE(listening.has_value());
     this->server = std::move(listening.value());
   }
 
-  void Hold(const std::string& text) {
-    this->state.table =
+  void SetConfiguration(const std::string& text) {
+    this->state.route_table =
         std::make_shared<const routes::RouteTable>(routes::Configuration{});
     ++this->state.configuration_revision;
     this->state.configuration_text = text;
@@ -72,8 +72,8 @@
   std::string Address() const {
     return "127.0.0.1:" + std::to_string(this->server->Port());
   }
-  /// Returns the beacon by which others hear of what it holds.
-  gossip::Beacon Told() const {
+  /// Returns a beacon that announces the snapshot that it has.
+  gossip::Beacon MakeBeacon() const {
     gossip::Beacon beacon;
     beacon.configuration_revision = this->state.configuration_revision;
     beacon.control_address = this->Address();
@@ -83,12 +83,12 @@
   http::Loop& loop;
   InstanceState state;
   eventlog::Logger logger;
-  EndpointListLog lists{this->logger};
+  EndpointListLog endpoint_log{this->logger};
   http::Client client;
-  SnapshotExchange copies;
+  SnapshotExchange snapshots;
   std::unique_ptr<http::Server> server;
-  int taken = 0;
-  int asked = 0;
+  int configurations_applied = 0;
+  int requests_received = 0;
 };
 
 /// Runs a loop on a thread of its own.
@@ -102,19 +102,19 @@
   LoopThread(const LoopThread&) = delete;
   LoopThread& operator=(const LoopThread&) = delete;
 
-  void On(const std::function<void()>& act) {
+  void On(const std::function<void()>& task) {
     std::promise<void> done;
     this->loop.Post([&] {
-      act();
+      task();
       done.set_value();
     });
     done.get_future().get();
   }
-  /// Waits until \p holds on the loop's thread; returns whether it did.
+  /// Waits until \p holds is true on the loop's thread; returns whether it was.
   bool Eventually(const std::function<bool()>& holds) {
-    constexpr int kLooks = 100;
+    constexpr int kPolls = 100;
     bool held = false;
-    for (int look = 0; look < kLooks && !held; ++look) {
+    for (int poll = 0; poll < kPolls && !held; ++poll) {
       std::this_thread::sleep_for(milliseconds(50));
       this->On([&] { held = holds(); });
     }
@@ -127,28 +127,29 @@
   std::thread thread;
 };
 
-/// Two instances, of which one holds a configuration.
-class Two {
+/// Two instances, one of which has a configuration.
+class InstancePair {
  public:
-  explicit Two(const std::string& text) {
+  explicit InstancePair(const std::string& text) {
     this->thread.On([&] {
       this->holder = std::make_unique<Holder>(this->thread.loop, "holder");
       this->follower = std::make_unique<Holder>(this->thread.loop, "follower");
-      this->holder->Hold(text);
+      this->holder->SetConfiguration(text);
     });
   }
-  ~Two() {
+  ~InstancePair() {
     this->thread.On([this] {
       this->holder.reset();
       this->follower.reset();
     });
   }
-  Two(const Two&) = delete;
-  Two& operator=(const Two&) = delete;
+  InstancePair(const InstancePair&) = delete;
+  InstancePair& operator=(const InstancePair&) = delete;
 
-  void Tell() {
-    this->thread.On(
-        [this] { this->follower->copies.FetchNewer(this->holder->Told()); });
+  void Announce() {
+    this->thread.On([this] {
+      this->follower->snapshots.FetchNewer(this->holder->MakeBeacon());
+    });
   }
   bool FollowerHas(const std::string& text) {
     return this->thread.Eventually(
@@ -160,22 +161,22 @@
   std::unique_ptr<Holder> follower;
 };
 
-BOOST_AUTO_TEST_CASE(NewerConfigurationIsFetchedAsItIs) {
+BOOST_AUTO_TEST_CASE(NewerConfigurationIsFetchedUnchanged) {
   const std::string text = LargeText();
-  Two two(text);
-  two.Tell();
-  BOOST_TEST(two.FollowerHas(text));
+  InstancePair pair(text);
+  pair.Announce();
+  BOOST_TEST(pair.FollowerHas(text));
 }
 
-// Guards against a configuration of many routes that fills the links of a large
-// fleet for seconds: it goes from one to another in an eighth of its bytes.
-BOOST_AUTO_TEST_CASE(LargeConfigurationTravelsInFewBytes) {
+// Guards against a configuration of many routes that saturates the links of a
+// large fleet for seconds: it is sent in an eighth of its bytes.
+BOOST_AUTO_TEST_CASE(LargeConfigurationIsSentCompressed) {
   const std::string text = LargeText();
   BOOST_TEST(Deflate(text).size() * 8 <= text.size());
 }
 
-/// A caller that asks for the configuration and reads nothing of the answer but
-/// its first bytes.
+/// A caller that requests the configuration and reads only the first bytes of
+/// the answer.
 class StalledCaller {
  public:
   explicit StalledCaller(const Holder& holder)
@@ -201,9 +202,9 @@
   /// Waits for the answer's first bytes.
   std::string FirstBytes() const {
     std::string bytes(12, ' ');
-    const ssize_t got =
+    const ssize_t received =
         recv(this->descriptor, bytes.data(), bytes.size(), MSG_WAITALL);
-    bytes.resize(static_cast<std::size_t>(std::max<ssize_t>(got, 0)));
+    bytes.resize(static_cast<std::size_t>(std::max<ssize_t>(received, 0)));
     return bytes;
   }
 
@@ -211,32 +212,33 @@
   int descriptor;
 };
 
-/// More than the kernel buffers of a connection hold.
+/// More than the kernel's buffers for a connection hold.
 std::string HugeText() {
   constexpr std::size_t kBytes = 24UL * 1024 * 1024;
   return std::string(kBytes, 'a');
 }
 
-// Guards against a crowded link on which so many copies are under way that none
-// arrives in time: who comes later is turned away at once, and gets one when
-// another has left.
-BOOST_AUTO_TEST_CASE(CopiesUnderWayAreFew) {
-  Two two(HugeText());
+// Guards against so many concurrent transfers on a congested link that none
+// completes in time: further requests are refused immediately, and succeed
+// after another transfer has ended.
+BOOST_AUTO_TEST_CASE(ConcurrentTransfersAreLimited) {
+  InstancePair pair(HugeText());
   std::vector<std::unique_ptr<StalledCaller>> callers;
-  for (int at = 0; at < 3; ++at) {
-    callers.push_back(std::make_unique<StalledCaller>(*two.holder));
+  for (int i = 0; i < 3; ++i) {
+    callers.push_back(std::make_unique<StalledCaller>(*pair.holder));
     BOOST_TEST(callers.back()->FirstBytes() == "HTTP/1.1 200");
   }
-  const StalledCaller late(*two.holder);
+  const StalledCaller late(*pair.holder);
   BOOST_TEST(late.FirstBytes() == "HTTP/1.1 503");
-  two.Tell();
-  BOOST_TEST(two.thread.Eventually([&] { return two.holder->asked > 4; }));
-  BOOST_TEST(two.follower->taken == 0);
-  // Whoever was turned away tries anew without another beacon.
+  pair.Announce();
+  BOOST_TEST(pair.thread.Eventually(
+      [&] { return pair.holder->requests_received > 4; }));
+  BOOST_TEST(pair.follower->configurations_applied == 0);
+  // A refused peer retries without another beacon.
   const std::string text = LargeText();
-  two.thread.On([&] { two.holder->Hold(text); });
+  pair.thread.On([&] { pair.holder->SetConfiguration(text); });
   callers.clear();
-  BOOST_TEST(two.FollowerHas(text));
+  BOOST_TEST(pair.FollowerHas(text));
 }
 
 }  // namespace
--- a/unittests/instance/store_sync_test.cc
+++ b/unittests/instance/store_sync_test.cc
@@ -7,56 +7,55 @@
 
 using std::chrono::milliseconds;
 
-// An engine said that it leaves, and one instance sent it a request 4 ms after
-// the bound (I5): nobody vouched for its list any more, and its own read was
-// begun so late that a slow answer came after the bound.
-BOOST_AUTO_TEST_CASE(ReadAfterTheLastProofEndsWithinTheBound) {
+// Guards against a request to a draining endpoint 4 ms after the bound (I5): no
+// peer confirmed the instance's list any more, and its own read started so late
+// that a slow answer came after the bound.
+BOOST_AUTO_TEST_CASE(ReadAfterTheLastConfirmationEndsWithinTheBound) {
   for (const int bound_millis : {2000, 3000}) {
     const Duration bound = milliseconds(bound_millis);
     const StoreSyncTimes times(bound);
-    BOOST_CHECK(times.oldest_proof + times.look_period +
+    BOOST_CHECK(times.max_confirmation_age + times.poll_period +
                     kStoreInactivityTimeout <=
                 bound);
-    // What the reader vouches for, and a beacon that is lost, come before it.
-    BOOST_CHECK(times.reader_period + times.look_period + milliseconds(250) <
-                times.oldest_proof);
+    // The reader's confirmations, with one lost beacon, arrive before it.
+    BOOST_CHECK(times.reader_period + times.poll_period + milliseconds(250) <
+                times.max_confirmation_age);
   }
 }
 
-// Guards against hundreds of instances that read for themselves because a
-// message of the leader to each was lost, or two where the bound is longer.
-BOOST_AUTO_TEST_CASE(FollowersOfALargeFleetOutlastLostMessages) {
-  constexpr Duration kBetweenLeadersMessages = milliseconds(500);
-  constexpr Duration kBetweenOwnMessages = milliseconds(250);
+// Guards against hundreds of instances that read for themselves because each
+// missed one message of the leader, or two where the bound is longer.
+BOOST_AUTO_TEST_CASE(FollowersOfALargeFleetTolerateLostMessages) {
+  constexpr Duration kLeaderPeriod = milliseconds(500);
+  constexpr Duration kOwnPeriod = milliseconds(250);
   struct Case {
     milliseconds bound;
     int lost;
   };
-  for (const Case& one :
+  for (const Case& tested :
        {Case{milliseconds(3000), 1}, Case{milliseconds(4000), 2}}) {
-    const StoreSyncTimes times{one.bound};
-    const Duration oldest = times.ReaderPeriod(true) + times.look_period +
-                            kBetweenOwnMessages +
-                            (1 + one.lost) * kBetweenLeadersMessages;
-    BOOST_CHECK(oldest < times.oldest_proof);
+    const StoreSyncTimes times{tested.bound};
+    const Duration oldest = times.ReaderPeriod(true) + times.poll_period +
+                            kOwnPeriod + (1 + tested.lost) * kLeaderPeriod;
+    BOOST_CHECK(oldest < times.max_confirmation_age);
   }
 }
 
-// Guards against hundreds of instances that read for themselves when the leader
-// has died: a backup leader has read, and told them, before their proofs get
-// too old.
-BOOST_AUTO_TEST_CASE(DeputyReadsBeforeTheOthersMust) {
-  constexpr Duration kBetweenDeputysMessages = milliseconds(500);
-  constexpr Duration kBetweenOwnMessages = milliseconds(500);
+// Guards against hundreds of instances that read for themselves after the
+// leader has died: a backup leader reads and announces the result before their
+// confirmations get too old.
+BOOST_AUTO_TEST_CASE(BackupLeaderReadsBeforeTheOthersMust) {
+  constexpr Duration kBackupLeaderPeriod = milliseconds(500);
+  constexpr Duration kOwnPeriod = milliseconds(500);
   const StoreSyncTimes times{milliseconds(4000)};
-  BOOST_CHECK(times.backup_leader_confirmation + times.look_period +
-                  kBetweenOwnMessages + kBetweenDeputysMessages <
-              times.oldest_proof);
+  BOOST_CHECK(times.backup_leader_confirmation + times.poll_period +
+                  kOwnPeriod + kBackupLeaderPeriod <
+              times.max_confirmation_age);
 }
 
-// Guards against a fleet that spends its calls on an outage: every instance
-// asks whether the store is back, and each question is a call.
-BOOST_AUTO_TEST_CASE(QuestionsInAnOutageDoNotGrowWithTheFleet) {
+// Guards against a fleet whose calls during an outage grow with its size: every
+// instance tests whether the store has returned, and each test is a call.
+BOOST_AUTO_TEST_CASE(CallsInAnOutageDoNotGrowWithTheFleet) {
   const StoreSyncTimes times{milliseconds(4000)};
   for (const std::size_t instances : {86U, 295U, 420U}) {
     const double seconds =
