--- a/include/toucanwharf/instance/gateway.h
+++ b/include/toucanwharf/instance/gateway.h
@@ -97,7 +97,7 @@
   /// Precondition: all references outlive the gateway.
   Gateway(http::Loop& event_loop, http::Client& http_client,
           InstanceState& shared_state, eventlog::Logger& log,
-          const InstanceSettings& chosen, HeaderNames header_names,
+          const InstanceSettings& initial_settings, HeaderNames header_names,
           EngineCalls engine_calls);
 
   /// Calls \p task when this instance finds an engine unresponsive, so that it
--- a/include/toucanwharf/instance/instance.h
+++ b/include/toucanwharf/instance/instance.h
@@ -31,8 +31,8 @@
 class Instance {
  public:
   /// Writes its log to \p log_descriptor.
-  Instance(InstanceSettings chosen, int log_descriptor)
-      : settings(std::move(chosen)),
+  Instance(InstanceSettings initial_settings, int log_descriptor)
+      : settings(std::move(initial_settings)),
         logger(log_descriptor, this->settings.name),
         state(this->settings, NewId()),
         client(this->loop),
--- a/include/toucanwharf/instance/peer_link.h
+++ b/include/toucanwharf/instance/peer_link.h
@@ -37,7 +37,7 @@
   /// Precondition: all references outlive the link.
   PeerLink(http::Loop& event_loop, http::Client& http_client,
            InstanceState& shared_state, eventlog::Logger& log,
-           EndpointListLog& list_log, const InstanceSettings& chosen);
+           EndpointListLog& list_log, const InstanceSettings& initial_settings);
 
   /// Binds the datagram socket and starts sending.
   Result<void> Start(OnConfiguration on_configuration,
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -32,8 +32,9 @@
   /// Between reports of engines that hold their target layers: only their speed
   /// may have changed, and each report costs a request.
   Duration report_period = std::chrono::milliseconds(2000);
-  /// The same in a large fleet, where reports also show the load from instances
-  /// whose beacons are not received: 93 reports a second for 93 engines.
+  /// Like report_period, for a large fleet, where reports also show the load
+  /// from instances whose beacons are not received: 93 reports a second for 93
+  /// engines.
   Duration report_period_large = std::chrono::milliseconds(1000);
   Duration call_timeout = std::chrono::milliseconds(500);
   /// A report arrives within a millisecond, or after one retransmitted packet.
@@ -62,20 +63,21 @@
   PlacementDriver(http::Loop& event_loop, http::Client& http_client,
                   Store& object_store, InstanceState& shared_state,
                   PeerLink& peer_link, eventlog::Logger& log,
-                  const InstanceSettings& chosen)
+                  const InstanceSettings& initial_settings)
       : loop(event_loop),
         client(http_client),
         store(object_store),
         state(shared_state),
         peers(peer_link),
         logger(log),
-        processor_share(chosen.processor_share),
-        callers_address(chosen.callers_address),
-        datagram_address(chosen.datagram_address),
-        election_policy(chosen.processor_share, event_loop.Now()),
+        processor_share(initial_settings.processor_share),
+        callers_address(initial_settings.callers_address),
+        datagram_address(initial_settings.datagram_address),
+        election_policy(initial_settings.processor_share, event_loop.Now()),
         lease(MakeLeaseSettings(shared_state.instance),
               HashText(shared_state.instance)) {
-    this->layout_settings.standby_copies = chosen.mechanisms.standby_copies;
+    this->layout_settings.standby_copies =
+        initial_settings.mechanisms.standby_copies;
   }
 
   void Start() {
@@ -101,8 +103,8 @@
     control::LeaseSettings settings;
     settings.role = "placement";
     settings.holder = holder;
-    // The cover of an engine that died gets its layers by the next layout,
-    // which must come within seconds also if the leader died with the engine.
+    // The next layout of a cover replaces an engine that died, and must come
+    // within seconds even if the leader died with the engine.
     settings.term = std::chrono::milliseconds(3000);
     settings.margin = std::chrono::milliseconds(300);
     settings.renewal = std::chrono::milliseconds(1200);
@@ -117,7 +119,7 @@
     if (this->state.leads) {
       this->Plan(now);
       this->RequestReports(now);
-      this->GiveOrders(now);
+      this->SendOrders(now);
       this->ShareEngineStatuses();
     } else {
       this->ActForLeader(now);
@@ -146,7 +148,7 @@
       if (!service.engine || service.engine->layers == 0) continue;
       this->state.endpoints.ForEachReady(
           service.name, [this](const endpoints::Endpoint& endpoint) {
-            this->ResetIfRestarted(endpoint);
+            this->TrackEngine(endpoint);
           });
     }
     this->RequestReports(now);
@@ -179,8 +181,8 @@
     constexpr std::size_t kBehindBackupLeaders = 24;
     const std::size_t ahead = this->state.peers.CandidatesAhead(
         this->processor_share, this->callers_address, now);
-    const bool backup_leaders_lead = this->state.ready_list.IsCurrent(now);
-    return backup_leaders_lead ? ahead + kBehindBackupLeaders : ahead;
+    const bool backup_leaders_first = this->state.ready_list.IsCurrent(now);
+    return backup_leaders_first ? ahead + kBehindBackupLeaders : ahead;
   }
 
   void PollLease() {
@@ -254,7 +256,7 @@
           fleet.push_back(std::move(accelerator));
         });
     ServicePlan& plan = this->plans[service.name];
-    if (!plan.settling.IsStable(fleet, now)) return;
+    if (!plan.stabilization.IsStable(fleet, now)) return;
     if (fleet == plan.planned_for) return;
     plan.planned_for = fleet;
     const auto layout =
@@ -285,8 +287,8 @@
            known->second.failed_reports >= kLostAfter;
   }
 
-  /// Discards what was recorded for an earlier start of \p endpoint.
-  void ResetIfRestarted(const endpoints::Endpoint& endpoint) {
+  /// Tracks the reports of \p endpoint, and discards those of an earlier start.
+  void TrackEngine(const endpoints::Endpoint& endpoint) {
     ReportState& known = this->engines[endpoint.id];
     if (known.start_time_ms == endpoint.start_time_ms) return;
     known = ReportState{};
@@ -298,7 +300,7 @@
   /// since.
   void ApplyNewestLayers(const endpoints::Endpoint& endpoint,
                          placement::Accelerator& accelerator) {
-    this->ResetIfRestarted(endpoint);
+    this->TrackEngine(endpoint);
     const auto target = this->order_tracker.TargetLayout().find(endpoint.id);
     if (target != this->order_tracker.TargetLayout().end()) {
       accelerator.layers = target->second;
@@ -313,7 +315,7 @@
   struct ServicePlan {
     std::vector<placement::Accelerator> planned_for;
     placement::Layout layout;
-    placement::StabilizationWindow settling;
+    placement::StabilizationWindow stabilization;
   };
 
   void RequestReports(TimePoint now) {
@@ -367,8 +369,9 @@
     }
     // Another endpoint may have taken the address, or this one restarted.
     if (report->start_time_ms != 0 &&
-        report->start_time_ms != known.start_time_ms)
+        report->start_time_ms != known.start_time_ms) {
       return;
+    }
     this->order_tracker.OnReport(id, report->engine, requested_at);
     const TimePoint now = this->loop.Now();
     // In a small fleet the end of each answer is known before a report shows
@@ -395,7 +398,7 @@
     if (newly_found) this->peers.AnnounceUnresponsiveEngine();
   }
 
-  void GiveOrders(TimePoint now) {
+  void SendOrders(TimePoint now) {
     for (const auto& [id, layers] : this->order_tracker.TargetLayout()) {
       const endpoints::Endpoint* endpoint = this->state.endpoints.Find(id);
       if (endpoint == nullptr) continue;
--- a/include/toucanwharf/instance/store_sync.h
+++ b/include/toucanwharf/instance/store_sync.h
@@ -43,8 +43,9 @@
 
   /// The leader reads this often, and confirms the result to the others.
   Duration reader_period;
-  /// The same in a large fleet, where the others receive the leader's beacons
-  /// twice a second: two in a row may be lost before they read for themselves.
+  /// Like reader_period, for a large fleet, where the others receive the
+  /// leader's beacons twice a second: two in a row may be lost before they read
+  /// for themselves.
   Duration reader_period_large;
   /// A backup leader whose newest confirmation is older than this reads: the
   /// leader has probably been lost, and the others rely on the backup leader's
@@ -80,7 +81,7 @@
   StoreSync(http::Loop& event_loop, Store& object_store,
             InstanceState& shared_state, eventlog::Logger& log,
             EndpointListLog& list_log, std::function<void()> on_change,
-            const StoreSyncTimes& chosen,
+            const StoreSyncTimes& sync_times,
             const gossip::InitialReadPolicy& at_start)
       : loop(event_loop),
         store(object_store),
@@ -88,7 +89,7 @@
         logger(log),
         endpoint_log(list_log),
         changed(std::move(on_change)),
-        times(chosen),
+        times(sync_times),
         initial_read(at_start) {}
 
   /// Begins to read.
@@ -129,7 +130,7 @@
     const bool may_begin = this->MayReadInitially(now);
     if (!this->reading_configuration && (age || may_begin) &&
         this->Due(age, period, this->configuration_requested, now)) {
-      this->LogOwnRead("configuration", age, now);
+      this->LogLocalRead("configuration", age, now);
       this->ReadConfiguration();
     }
     std::optional<Duration> list_age;
@@ -141,7 +142,7 @@
     if (this->store_answers && !this->listing_endpoints &&
         (list_age || may_begin) &&
         this->Due(list_age, period, this->endpoints_requested, now)) {
-      this->LogOwnRead("endpoints", list_age, now);
+      this->LogLocalRead("endpoints", list_age, now);
       this->ListEndpoints();
     }
   }
@@ -173,11 +174,11 @@
   }
 
   /// Logs that this instance reads for itself although it is not the leader.
-  void LogOwnRead(std::string_view what, const std::optional<Duration>& age,
-                  TimePoint now) {
+  void LogLocalRead(std::string_view subject,
+                    const std::optional<Duration>& age, TimePoint now) {
     if (this->state.leads) return;
     eventlog::Fields fields;
-    fields.Text("what", what);
+    fields.Text("what", subject);
     if (age) fields.Millis("proof_age_ms", *age);
     this->logger.Write(eventlog::Level::kRoutine, "own_read", fields, now);
   }
@@ -189,24 +190,24 @@
   /// start, when the operator has not written a configuration yet.
   Duration Backoff(TimePoint now) const {
     constexpr int kMaxDoublings = 2;
-    const Duration own = this->times.retry_period *
-                         (1 << std::min(this->failures, kMaxDoublings));
-    if (!this->state.peers.IsLargeFleet(now) || this->state.leads) return own;
+    const Duration base = this->times.retry_period *
+                          (1 << std::min(this->failures, kMaxDoublings));
+    if (!this->state.peers.IsLargeFleet(now) || this->state.leads) return base;
     // If the leader or a backup leader has read recently, the store is
     // available, and only this instance's reads fail: it must keep trying, or
     // it would use endpoints that have departed (I5).
-    const auto coordinators = this->state.peers.CoordinatorConfirmationAge(
+    const auto confirmation_age = this->state.peers.CoordinatorConfirmationAge(
         this->state.backup_leaders, now);
-    const bool outage =
-        coordinators && *coordinators > this->times.reader_period_large * 3;
+    const bool outage = confirmation_age &&
+                        *confirmation_age > this->times.reader_period_large * 3;
     // A process without a configuration uses no endpoints. If all have just
     // started and the store cannot serve them concurrently, hundreds of retries
     // would keep it from serving any; an instance that gets an answer announces
     // it to the others.
     const bool has_configuration = this->state.configuration_revision > 0;
-    if (has_configuration && !outage) return own;
-    return std::max(
-        own, this->times.FollowerBackoff(this->state.peers.InstanceCount(now)));
+    if (has_configuration && !outage) return base;
+    return std::max(base, this->times.FollowerBackoff(
+                              this->state.peers.InstanceCount(now)));
   }
 
   void ReadConfiguration() {
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -55,15 +55,15 @@
 
 Gateway::Gateway(http::Loop& event_loop, http::Client& http_client,
                  InstanceState& shared_state, eventlog::Logger& log,
-                 const InstanceSettings& chosen, HeaderNames header_names,
-                 EngineCalls engine_calls)
+                 const InstanceSettings& initial_settings,
+                 HeaderNames header_names, EngineCalls engine_calls)
     : loop(event_loop),
       client(http_client),
       state(shared_state),
       logger(log),
-      settings(chosen),
+      settings(initial_settings),
       names(std::move(header_names)),
-      budget(chosen.budget, event_loop.Now()),
+      budget(initial_settings.budget, event_loop.Now()),
       random(HashText(shared_state.instance)),
       calls(std::move(engine_calls)),
       probe(event_loop, http_client, this->calls.report, this->calls.to_report),
@@ -200,8 +200,8 @@
 void Gateway::RerouteAround(const std::string& endpoint) {
   // Rerouting one request may end it, and others with it.
   std::vector<std::shared_ptr<ProxiedRequest>> all;
-  for (ProxiedRequest* one : this->active) {
-    all.push_back(one->shared_from_this());
+  for (ProxiedRequest* request : this->active) {
+    all.push_back(request->shared_from_this());
   }
   for (const auto& request : all) request->OnEngineUnresponsive(endpoint);
 }
--- a/lib/instance/instance_state.cc
+++ b/lib/instance/instance_state.cc
@@ -52,9 +52,9 @@
     }
     return addresses;
   }
-  const auto own = gossip::IpNumber(callers);
+  const auto own_number = gossip::IpNumber(callers);
   for (const std::uint32_t number : this->ready_list.Ready()) {
-    if (number == own) continue;
+    if (number == own_number) continue;
     const gossip::Peer* peer = this->peers.Live(
         gossip::AddressOf(number, gossip::PortOf(datagrams)), now);
     // The leader's last list still contains a peer that has just announced its
--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -44,16 +44,17 @@
 
 PeerLink::PeerLink(http::Loop& event_loop, http::Client& http_client,
                    InstanceState& shared_state, eventlog::Logger& log,
-                   EndpointListLog& list_log, const InstanceSettings& chosen)
+                   EndpointListLog& list_log,
+                   const InstanceSettings& initial_settings)
     : loop(event_loop),
       client(http_client),
       state(shared_state),
       logger(log),
       endpoint_log(list_log),
-      settings(chosen),
+      settings(initial_settings),
       started(event_loop.Now()),
       snapshots(event_loop, http_client, shared_state, log, list_log,
-                chosen.failure_domain),
+                initial_settings.failure_domain),
       random(HashText(shared_state.instance)) {}
 
 Result<void> PeerLink::Start(OnConfiguration on_configuration,
@@ -327,8 +328,8 @@
         address == leader ||
         std::find(backup_leaders.begin(), backup_leaders.end(), address) !=
             backup_leaders.end();
-    const gossip::EncodedBeacon& chosen = to_coordinator ? full : to_followers;
-    const std::string bytes = (needs_introduction ? introducing : chosen)
+    const gossip::EncodedBeacon& encoded = to_coordinator ? full : to_followers;
+    const std::string bytes = (needs_introduction ? introducing : encoded)
                                   .For(last.value, last.instance);
     this->LogSendFailure(this->socket->Send(address, bytes), bytes.size(), now);
   }
--- a/lib/instance/proxied_request_stall.cc
+++ b/lib/instance/proxied_request_stall.cc
@@ -267,8 +267,8 @@
                 .Count("status", status)
                 .Text("at_fault", fault)
                 .Millis("silent_ms", now - this->last_data));
-  constexpr int kRefused = 400;
-  if (status == 0 || status >= kRefused) {
+  constexpr int kFirstErrorStatus = 400;
+  if (status == 0 || status >= kFirstErrorStatus) {
     this->OnRerouteRefused(stages, fault);
     return;
   }
--- a/lib/instance/snapshot_exchange.cc
+++ b/lib/instance/snapshot_exchange.cc
@@ -241,9 +241,10 @@
     const gossip::Beacon& beacon = peer->beacon;
     // A peer whose last beacon is old may have departed.
     const bool recent = now - peer->last_beacon_at <= kFetchSpread * 2;
-    const bool has = RevisionIn(beacon, wanted.kind) >= wanted.revision;
+    const bool has_revision =
+        RevisionIn(beacon, wanted.kind) >= wanted.revision;
     const bool in_domain = beacon.failure_domain == this->failure_domain;
-    if (recent && has && in_domain) nearby.push_back(peer);
+    if (recent && has_revision && in_domain) nearby.push_back(peer);
   }
   if (nearby.empty()) return wanted.announcer;
   return nearby[this->random() % nearby.size()]->beacon.control_address;
@@ -264,17 +265,16 @@
   const endpoints::EndpointTable& table = this->state.endpoints;
   const bool of_endpoints = kind == Kind::kEndpoints;
   Snapshot& copy = of_endpoints ? this->endpoints : this->configuration;
-  const std::uint64_t revision = of_endpoints
-                                     ? table.ChangedRevision()
-                                     : this->state.configuration_revision;
+  const std::uint64_t newest = of_endpoints
+                                   ? table.ChangedRevision()
+                                   : this->state.configuration_revision;
   // While endpoints are retained, the text states for how much longer.
   const std::size_t count = of_endpoints ? table.RetainedCount() : 0;
-  if (copy.revision == revision && copy.retained == 0 && count == 0)
-    return copy;
+  if (copy.revision == newest && copy.retained == 0 && count == 0) return copy;
   copy.text = of_endpoints ? EndpointsToText(table.Share(this->loop.Now()))
                            : this->state.configuration_text;
   copy.deflated = Deflate(copy.text);
-  copy.revision = revision;
+  copy.revision = newest;
   copy.retained = count;
   return copy;
 }
