--- a/lib/instance/peer_link.cc
+++ b/lib/instance/peer_link.cc
@@ -311,7 +311,8 @@
   const std::string leader = this->state.peers.Leader(now);
   const auto backup_leaders = this->OtherBackupLeaders(leader);
   // In a large fleet only the leader and the backup leaders sum the loads of
-  // all, and send them the sum: the single loads are most of a beacon.
+  // all instances and send the sum to them: the single loads are most of a
+  // beacon.
   gossip::Beacon brief = beacon;
   if (this->state.peers.IsLargeFleet(now)) brief.loads.clear();
   const gossip::EncodedBeacon to_followers(brief);
@@ -422,7 +423,7 @@
   // Each part is sent after all the others.
   const auto others =
       static_cast<std::int64_t>(beacon.covered_keys.Parts() - 1);
-  const TimePoint facts_until =
+  const TimePoint valid_until =
       now + kStatusLifetime + this->schedule.CoordinatorPeriod() * others;
   for (const gossip::KeyedEngineStatus& status : beacon.engine_statuses) {
     const endpoints::Endpoint* endpoint =
@@ -431,7 +432,7 @@
     this->state.loads.SetEngineStatus(
         {endpoint->id, endpoint->start_time_ms, status.layers, status.slowdown,
          status.token_layers},
-        facts_until);
+        valid_until);
   }
   const bool is_follower =
       this->state.peers.IsLargeFleet(now) && !this->state.leads;
