--- a/include/toucanwharf/daemon/admin_api.h
+++ b/include/toucanwharf/daemon/admin_api.h
@@ -9,21 +9,21 @@
 
 namespace toucanwharf::daemon {
 
-/// What operators can ask of one router.
+/// Implementations of the operators' requests to one router.
 struct AdminCallbacks {
   /// Returns `GET /admin/status` as JSON.
   std::function<std::string()> status;
-  /// Returns `GET /admin/timeline` as JSON, events after a sequence number.
+  /// Returns `GET /admin/timeline` as JSON: events after a sequence number.
   std::function<std::string(std::uint64_t)> timeline;
   std::function<std::string()> metrics;
   std::function<void()> drain;
 };
 
-/// The listener for operators.
+/// Serves the HTTP API for operators.
 /// Thread safety: none; for the loop's thread.
 class AdminApi {
  public:
-  AdminApi(std::string admin_key, AdminCallbacks ports);
+  AdminApi(std::string admin_key, AdminCallbacks callbacks);
 
   /// Serves one request. Precondition: the exchange has no answer yet.
   void Serve(const std::shared_ptr<transport::Exchange>& exchange);
@@ -32,7 +32,7 @@
   bool IsAllowed(const transport::HttpRequest& request) const;
 
   std::string key_hash;
-  AdminCallbacks ports;
+  AdminCallbacks callbacks;
 };
 
 }  // namespace toucanwharf::daemon
--- a/include/toucanwharf/daemon/answer_admission.h
+++ b/include/toucanwharf/daemon/answer_admission.h
@@ -19,66 +19,67 @@
 
 namespace toucanwharf::daemon {
 
-/// What becomes of an answer that was offered; one of the two is called, once.
+/// Outcome of an offered answer: one of the two is called, once, unless the
+/// answer is cancelled before.
 struct AdmissionHandlers {
   std::function<void(const pipeline::Plan&)> on_plan;
   std::function<void(const admission::Refusal&)> on_refuse;
 };
 
-/// Lets answers in: one admission gate for the engines of each model version,
-/// and the planner behind it.
+/// Admits answers and plans their stages: one admission controller for the
+/// engines of each model version, with the planner as its endpoint selection.
 /// Thread safety: none; for the loop's thread.
 class AnswerAdmission {
  public:
-  /// Precondition: all references outlive the gate.
+  /// Precondition: all references outlive the object.
   AnswerAdmission(transport::EventLoop& loop, Directory& directory,
                   Metrics& metrics, std::uint64_t seed);
   AnswerAdmission(const AnswerAdmission&) = delete;
   AnswerAdmission& operator=(const AnswerAdmission&) = delete;
 
-  /// Follows the directory's engines and refuses what waits too long.
-  /// Precondition: called once, before the directory starts.
+  /// Observes the directory's engines and starts refusing answers that wait
+  /// too long. Precondition: called once, before the directory starts.
   void Start();
 
   /// Offers \p request of \p customer. A handler may be called before this
-  /// returns. Precondition: the id is not known to the gate.
+  /// returns. Precondition: the id is not in use here.
   void Offer(const pipeline::AnswerRequest& request,
              const std::string& customer, AdmissionHandlers handlers);
 
-  /// Returns a plan for an answer that is under way and lost its stages. It
-  /// doesn't wait for its turn again, and takes also an engine that is full:
-  /// its caller has had part of the answer.
+  /// Returns a plan for a running answer that lost its stages. The answer
+  /// isn't queued again and may use an engine at capacity, since its caller
+  /// already has part of it.
   Result<pipeline::Plan> Replan(const pipeline::PlanQuery& query);
 
-  /// Notes that answer \p id goes on with \p plan.
+  /// Records that answer \p id continues on \p plan.
   void RecordPlan(const std::string& id, const pipeline::Plan& plan);
 
-  /// Notes that \p endpoint refused an attempt of answer \p id.
+  /// Records that \p endpoint refused an attempt of answer \p id.
   void RecordEndpointRefusal(const std::string& id,
                              const std::string& endpoint);
 
-  /// Notes a failure that speaks against \p endpoint.
+  /// Records a failure for which \p endpoint is held responsible.
   void RecordEndpointFailure(const std::string& id,
                              const std::string& endpoint);
 
-  /// Notes the end of answer \p id after \p tokens; without effect when it is
-  /// unknown.
+  /// Records the end of answer \p id after \p tokens; \p whole is false when
+  /// it failed. Without effect when the answer is unknown.
   void RecordEnd(const std::string& id, bool whole, std::uint32_t tokens);
 
-  /// Drops answer \p id if it still waits; its handlers are not called.
-  /// Returns whether it waited.
+  /// Drops answer \p id if it is still queued; its handlers are not called.
+  /// Returns whether it was queued.
   bool Cancel(const std::string& id);
 
-  /// Returns the part of all tokens that \p customer had here, 0 to 1.
+  /// Returns \p customer's share of all tokens served here, 0 to 1.
   double TrafficShareOf(const std::string& customer);
 
  private:
   using PoolKey = std::pair<std::string, std::string>;
   struct Pool {
-    explicit Pool(std::uint64_t seed) : gate({}, seed) {}
-    admission::AdmissionController gate;
+    explicit Pool(std::uint64_t seed) : controller({}, seed) {}
+    admission::AdmissionController controller;
   };
-  struct Held {
+  struct OfferedAnswer {
     PoolKey pool;
     pipeline::AnswerRequest request;
     std::string customer;
@@ -87,12 +88,12 @@
     std::optional<pipeline::Plan> plan;
   };
 
-  Pool& PoolOf(const PoolKey& key);
-  Pool* PoolWith(const std::string& endpoint);
-  void TakeStatus(const pipeline::EndpointView& view, std::uint32_t slots);
-  void TakeLoad(const std::string& id, const EngineLoad& load);
-  void TakeGone(const std::string& id);
-  void Pump(const PoolKey& key);
+  Pool& FindOrCreatePool(const PoolKey& key);
+  Pool* FindPoolOfEngine(const std::string& endpoint);
+  void ApplyStatus(const pipeline::EndpointView& view, std::uint32_t slots);
+  void ApplyLoad(const std::string& id, const EngineLoad& load);
+  void RemoveEngine(const std::string& id);
+  void AdmitWaiting(const PoolKey& key);
   void Tick();
   void Refuse(const admission::Refusal& refusal);
 
@@ -103,7 +104,7 @@
   Random random;
   std::map<PoolKey, Pool> pools;
   std::map<std::string, PoolKey> pool_of_engine;
-  std::map<std::string, Held> offers;
+  std::map<std::string, OfferedAnswer> offers;
 };
 
 }  // namespace toucanwharf::daemon
--- a/include/toucanwharf/daemon/answer_relay.h
+++ b/include/toucanwharf/daemon/answer_relay.h
@@ -13,8 +13,8 @@
 
 namespace toucanwharf::daemon {
 
-/// An answer that a caller asks for at another instance than the one that runs
-/// it: both ends of the way between the two.
+/// Relays an answer from the instance that runs it to the instance that its
+/// caller is connected to. Serve is the sending side, Read the receiving side.
 /// Thread safety: none; for the loop's thread.
 class AnswerRelay {
  public:
@@ -22,8 +22,8 @@
   AnswerRelay(transport::EventLoop& loop, AnswerSessions& sessions)
       : loop(loop), sessions(sessions) {}
 
-  /// Sends the answer \p id of \p customer from token \p from on to another
-  /// router, to its end.
+  /// Sends the answer \p id of \p customer, from token \p from to its end, to
+  /// another router.
   void Serve(const std::string& id, std::uint32_t from,
              const std::string& customer, const peers::AnswerSink& sink);
 
--- a/include/toucanwharf/daemon/answer_runner.h
+++ b/include/toucanwharf/daemon/answer_runner.h
@@ -29,9 +29,9 @@
   friend bool operator==(const AnswerJob&, const AnswerJob&) = default;
 };
 
-/// Where an answer's tokens and its end go. All run on the loop's thread;
-/// on_finish, on_fail or, instead of everything else, on_refuse comes once,
-/// last.
+/// Callbacks for an answer's tokens and its end, on the loop's thread. Exactly
+/// one of on_finish, on_fail and on_refuse is called, last; on_refuse is then
+/// the only call.
 struct AnswerHandlers {
   std::function<void(const pipeline::EmitToken&)> on_token;
   std::function<void(const pipeline::Finish&)> on_finish;
@@ -40,29 +40,29 @@
   std::function<void(const admission::Refusal&)> on_refuse;
 };
 
-/// Carries out what the state machines of answers ask for: plans, streams to
-/// engines, probes and timers.
+/// Runs answers: performs the actions of their state machines (plans, streams
+/// to engines, probes and timers) and passes the results back as events.
 /// Thread safety: none; for the loop's thread.
 class AnswerRunner {
  public:
   /// Precondition: all references outlive the runner.
   AnswerRunner(transport::EventLoop& loop, transport::HttpClient& client,
-               AnswerAdmission& gate, Metrics& metrics,
+               AnswerAdmission& answer_admission, Metrics& metrics,
                timeline::Buffer& events);
   ~AnswerRunner();
   AnswerRunner(const AnswerRunner&) = delete;
   AnswerRunner& operator=(const AnswerRunner&) = delete;
 
-  /// Offers an answer to admission and begins it when its turn comes. Its
-  /// first callback may come before this returns.
+  /// Offers an answer to admission and starts it once admitted. Its first
+  /// callback may run before this returns.
   /// Precondition: no answer with the same id is running.
   void Start(AnswerJob job, AnswerHandlers handlers);
 
-  /// Ends the answer \p id because nobody waits for it; without effect when
+  /// Ends the answer \p id because it has no reader left; without effect when
   /// it is not running.
   void Abandon(const std::string& id);
 
-  /// Returns the number of answers under way.
+  /// Returns the number of answers queued or running.
   std::size_t Running() const { return this->running.size(); }
 
  private:
@@ -71,8 +71,8 @@
 
   void Begin(const Run& run, const pipeline::Plan& plan);
   void Refuse(const Run& run, const admission::Refusal& refusal);
-  void Feed(const Run& run, pipeline::Event event);
-  void Drain(const Run& run);
+  void Dispatch(const Run& run, pipeline::Event event);
+  void ProcessEvents(const Run& run);
   void PerformAll(const Run& run, const pipeline::Actions& actions);
   void Perform(const Run& run, const pipeline::RequestPlan& action);
   void Perform(const Run& run, const pipeline::StartAttempt& action);
@@ -86,16 +86,17 @@
   void Perform(const Run& run, const pipeline::Finish& action);
   void Perform(const Run& run, const pipeline::Fail& action);
 
-  void TakeData(const Run& run, std::uint32_t attempt, std::string_view bytes);
-  void TakeEnd(const Run& run, std::uint32_t attempt,
-               const transport::HttpOutcome& outcome);
+  void OnStreamData(const Run& run, std::uint32_t attempt,
+                    std::string_view bytes);
+  void OnStreamEnd(const Run& run, std::uint32_t attempt,
+                   const transport::HttpOutcome& outcome);
   void Close(const Run& run);
-  void Note(timeline::EventKind kind, const Run& run,
-            const std::string& endpoint, std::string reason);
+  void RecordEvent(timeline::EventKind kind, const Run& run,
+                   const std::string& endpoint, std::string reason);
 
   transport::EventLoop& loop;
   transport::HttpClient& client;
-  AnswerAdmission& gate;
+  AnswerAdmission& answer_admission;
   Metrics& metrics;
   timeline::Buffer& events;
   std::map<std::string, Run> running;
--- a/include/toucanwharf/daemon/answer_sessions.h
+++ b/include/toucanwharf/daemon/answer_sessions.h
@@ -16,7 +16,7 @@
 
 namespace toucanwharf::daemon {
 
-/// A model request that was let in.
+/// An accepted model request and how its answer is sent.
 struct SessionRequest {
   AnswerJob job;
   std::string customer;
@@ -27,23 +27,23 @@
                          const SessionRequest&) = default;
 };
 
-/// What a reader of an answer gets next.
+/// The part of an answer that a reader has not received yet.
 struct AnswerTail {
-  /// Server-sent events, as the caller gets them.
+  /// Server-sent events in the form sent to callers.
   std::string events;
   /// Index of the token after these.
   std::uint32_t next = 0;
-  /// Whether the events hold the answer's end.
+  /// Whether the events include the answer's end.
   bool ended = false;
 
   friend bool operator==(const AnswerTail&, const AnswerTail&) = default;
 };
 
-/// Joins running answers with the callers that read them.
+/// Connects running answers with the callers that read them.
 ///
-/// A streamed answer whose caller's connection broke runs on for a short while
-/// so that the caller can read on by request id; one that is sent whole is
-/// given up with its caller, who does not know its id.
+/// When a caller disconnects, a streamed answer keeps running for a grace
+/// period so that the caller can resume it by request id. An answer that is
+/// sent whole is abandoned without one: its caller does not know the id.
 /// Thread safety: none; for the loop's thread.
 class AnswerSessions {
  public:
@@ -51,53 +51,55 @@
   AnswerSessions(transport::EventLoop& loop, AnswerRunner& runner,
                  Metrics& metrics);
 
-  /// Begins to look for callers that left. Precondition: called once.
+  /// Starts the periodic check for disconnected callers.
+  /// Precondition: called once.
   void Start();
 
-  /// Runs \p request and sends what comes of it to \p exchange.
+  /// Runs \p request and sends its answer or refusal to \p exchange.
   /// Precondition: the exchange has no answer yet.
   void Open(SessionRequest request,
             std::shared_ptr<transport::Exchange> exchange);
 
   /// Streams the answer \p id from index \p from to \p exchange, or refuses
-  /// when it is not kept here for \p customer (I2).
+  /// when it is not retained here for \p customer (I2).
   /// Precondition: the exchange has no answer yet.
   void Resume(const std::string& id, const std::string& customer,
               std::uint32_t from,
               std::shared_ptr<transport::Exchange> exchange);
 
-  /// Returns what there is of the answer \p id from index \p from on. Counts as
-  /// a reader: the answer is not given up for a while. Errors: those of
-  /// pipeline::AnswerLog::Read.
+  /// Returns the available part of the answer \p id from index \p from on.
+  /// Restarts the grace period of an answer that has no reader. Errors: those
+  /// of pipeline::AnswerLog::Read.
   Result<AnswerTail> Tail(const std::string& id, const std::string& customer,
                           std::uint32_t from);
 
-  /// Returns whether the answer \p id is kept here, whoever's it is.
+  /// Returns whether the answer \p id of any customer is retained here.
   bool Contains(const std::string& id) const { return this->log.Contains(id); }
 
-  /// Returns the number of answers under way.
+  /// Returns the number of answers queued or running.
   std::size_t Running() const { return this->sessions.size(); }
 
  private:
   struct Session;
-  using Shared = std::shared_ptr<Session>;
-
-  void TakeToken(const Shared& session, const pipeline::EmitToken& token);
-  void TakeFinish(const Shared& session, const pipeline::Finish& finish);
-  void TakeRefusal(const Shared& session, const admission::Refusal& refused);
-  void SendRefusal(const Shared& session, const Refusal& refusal);
-  void TakeFail(const Shared& session, const pipeline::Fail& fail);
-  void Forget(const Shared& session);
-  void LookForLeftCallers();
-  void DropLeft(Session& session, TimePoint now);
+  using SharedSession = std::shared_ptr<Session>;
+
+  void OnToken(const SharedSession& session, const pipeline::EmitToken& token);
+  void OnFinish(const SharedSession& session, const pipeline::Finish& finish);
+  void OnRefusal(const SharedSession& session,
+                 const admission::Refusal& refused);
+  void SendRefusal(const SharedSession& session, const Refusal& refusal);
+  void OnFail(const SharedSession& session, const pipeline::Fail& fail);
+  void RemoveSession(const SharedSession& session);
+  void CheckReaders();
+  void DropDisconnectedReaders(Session& session, TimePoint now);
 
   transport::EventLoop& loop;
   AnswerRunner& runner;
   Metrics& metrics;
   pipeline::AnswerLog log;
-  std::map<std::string, Shared> sessions;
-  /// How answers that are only in the log were named.
-  std::map<std::string, CompletionNaming> ended;
+  std::map<std::string, SharedSession> sessions;
+  /// Naming of ended answers that are still in the log.
+  std::map<std::string, CompletionNaming> ended_namings;
 };
 
 }  // namespace toucanwharf::daemon
--- a/include/toucanwharf/daemon/caller_api.h
+++ b/include/toucanwharf/daemon/caller_api.h
@@ -19,23 +19,24 @@
 
 namespace toucanwharf::daemon {
 
-/// The listener for callers: which request is which, and whose it is.
+/// Serves the HTTP API for callers: authenticates the customer and dispatches
+/// each request by its path.
 /// Thread safety: none; for the loop's thread.
 class CallerApi {
  public:
   /// Precondition: all references outlive the object.
   CallerApi(transport::EventLoop& loop, const settings::Settings& settings,
             const platform::ConfigService& config, AnswerSessions& sessions,
-            ServiceRunner& services, EntryAdviceProvider& entries,
+            ServiceRunner& services, EntryAdviceProvider& entry_advice,
             Metrics& metrics);
 
-  /// Reads an answer that another instance runs, if it can be found.
-  /// Returns false, and leaves the exchange alone, if not.
+  /// Streams an answer that another instance runs. Returns false, without
+  /// using the exchange, if that instance is not known.
   using ResumeElsewhere = std::function<bool(
       const std::string& id, std::uint32_t from, const std::string& customer,
       const std::shared_ptr<transport::Exchange>& exchange)>;
 
-  /// Sets what is tried for answers that are not kept here.
+  /// Sets the fallback for answers that are not retained here.
   void SetResumeElsewhere(ResumeElsewhere resume) {
     this->resume_elsewhere = std::move(resume);
   }
@@ -52,7 +53,7 @@
   /// Returns the customer whose key the request carries.
   std::optional<records::Customer> Authenticate(
       const transport::HttpRequest& request) const;
-  bool ServeOpen(const SharedExchange& exchange);
+  bool ServeUnauthenticated(const SharedExchange& exchange);
   void ServeCompletion(const SharedExchange& exchange,
                        const records::Customer& customer,
                        CompletionShape shape);
@@ -68,7 +69,7 @@
   const platform::ConfigService& config;
   AnswerSessions& sessions;
   ServiceRunner& services;
-  EntryAdviceProvider& entries;
+  EntryAdviceProvider& entry_advice;
   Metrics& metrics;
   ResumeElsewhere resume_elsewhere;
 };
--- a/include/toucanwharf/daemon/directory.h
+++ b/include/toucanwharf/daemon/directory.h
@@ -15,10 +15,10 @@
 
 namespace toucanwharf::daemon {
 
-/// What kind of process an instance of the platform's list runs.
+/// Kind of process that an instance in the platform's list runs.
 enum class Role { kRouter, kEngine, kService };
 
-/// One line of the platform's list.
+/// One instance in the platform's list.
 struct Instance {
   std::string id;
   std::string address;
@@ -34,64 +34,66 @@
   friend bool operator==(const Instance&, const Instance&) = default;
 };
 
-/// Reads the body of `GET /instances`; lines that make no sense are left out.
+/// Reads the body of `GET /instances`; invalid elements are skipped.
 /// Thread safety: safe.
 std::vector<Instance> ParseInstances(std::string_view body);
 
-/// Reads an engine's `GET /v1/status` into \p view; false when it makes none.
+/// Reads the body of an engine's `GET /v1/status` into \p view. Returns false
+/// when it describes no usable engine.
 /// Thread safety: safe.
 bool ParseEngineStatus(std::string_view body, pipeline::EndpointView& view);
 
-/// Reads an engine's `GET /v1/load` into \p view; false when it makes none.
+/// Reads the expected wait from the body of an engine's `GET /v1/load` into
+/// \p view. Returns false when it has none.
 /// Thread safety: safe.
 bool ParseEngineLoad(std::string_view body, pipeline::EndpointView& view);
 
-/// An engine's word on its load.
+/// Load as reported by an engine.
 struct EngineLoad {
   std::uint32_t running = 0;
   double queued_tokens = 0;
   double kv_tokens_free = 0;
-  /// How old the figures were when the engine sent them.
+  /// Age of the figures when the engine sent them.
   Duration age{0};
 
   friend bool operator==(const EngineLoad&, const EngineLoad&) = default;
 };
 
-/// What follows the engines, besides the plans: admission.
+/// Callbacks for changes of the engines. Used by admission.
 struct EngineObservers {
-  /// A status came: what the engine holds, and how many answers it runs at
-  /// once.
+  /// A status arrived: the layers that the engine holds, and its concurrency
+  /// in answers.
   std::function<void(const pipeline::EndpointView&, std::uint32_t slots)>
       on_status;
   std::function<void(const std::string& id, const EngineLoad&)> on_load;
-  std::function<void(const std::string& id)> on_gone;
+  std::function<void(const std::string& id)> on_removed;
 };
 
 /// Reads the number of slots from an engine's `GET /v1/status`, at least 1.
 /// Thread safety: safe.
 std::uint32_t ParseEngineSlots(std::string_view body);
 
-/// Reads the load from an engine's `GET /v1/load`.
+/// Reads the load from the body of an engine's `GET /v1/load`.
 /// Thread safety: safe.
 EngineLoad ParseLoadReport(std::string_view body);
 
-/// All instances that this router knows, and what the engines among them hold.
+/// All instances that this router knows, and the layers that the engines among
+/// them hold.
 ///
-/// The platform's list lags, so that an engine's own word, which comes with
-/// its status, goes before it.
+/// Polls the platform's list and the engines. The list lags, so the status that
+/// an engine reports takes precedence over it.
 /// Thread safety: none; for the loop's thread.
 class Directory {
  public:
   /// Precondition: all references outlive the directory.
   Directory(transport::EventLoop& loop, transport::HttpClient& client,
             Metrics& metrics, std::string platform_address,
-            const std::string& own_domain);
+            const std::string& local_domain);
 
-  /// Begins to ask the platform and the engines, again and again.
-  /// Precondition: called once.
+  /// Starts polling the platform and the engines. Precondition: called once.
   void Start();
 
-  /// Returns the engines that plans are made of.
+  /// Returns the index of engines that plans are chosen from.
   pipeline::PlanIndex& Engines() { return this->engines; }
   const pipeline::PlanIndex& Engines() const { return this->engines; }
 
@@ -101,18 +103,19 @@
   /// Returns the live instances of the plain service \p name, by id.
   std::vector<Instance> ServiceInstances(const std::string& name) const;
 
-  /// Sets who is told about the engines. Precondition: before Start().
-  void SetObservers(EngineObservers new_watchers) {
-    this->watchers = std::move(new_watchers);
+  /// Sets the observers of the engines. Precondition: before Start().
+  void SetObservers(EngineObservers new_observers) {
+    this->observers = std::move(new_observers);
   }
 
  private:
-  void AskForList();
-  void TakeList(std::string_view body);
-  void Forget(const std::string& id);
-  void AskEngine(const std::string& id, bool with_status);
-  void TakeStatus(const std::string& id, const transport::HttpOutcome& outcome);
-  void TakeLoad(const std::string& id, const transport::HttpOutcome& outcome);
+  void FetchInstances();
+  void ApplyInstances(std::string_view body);
+  void RemoveInstance(const std::string& id);
+  void PollEngine(const std::string& id, bool with_status);
+  void ApplyStatus(const std::string& id,
+                   const transport::HttpOutcome& outcome);
+  void ApplyLoad(const std::string& id, const transport::HttpOutcome& outcome);
   void PollEngines();
 
   transport::EventLoop& loop;
@@ -122,7 +125,7 @@
   std::map<std::string, Instance> instances;
   std::map<std::string, pipeline::EndpointView> views;
   pipeline::PlanIndex engines;
-  EngineObservers watchers;
+  EngineObservers observers;
   std::uint64_t polls = 0;
 };
 
--- a/include/toucanwharf/daemon/engine_protocol.h
+++ b/include/toucanwharf/daemon/engine_protocol.h
@@ -19,11 +19,11 @@
 /// Returns the body of `POST /v1/cancel`. Thread safety: safe.
 std::string CancelBody(const std::string& request, std::uint32_t attempt);
 
-/// Reads one event of an engine's stream, which may be any bytes, into a token
-/// or a fault of attempt \p attempt. Thread safety: safe.
+/// Parses one event of an engine's stream, which may be any bytes, into a token
+/// or a failure of attempt \p attempt. Thread safety: safe.
 pipeline::Event ParseEngineEvent(std::uint32_t attempt, std::string_view data);
 
-/// Returns whether an engine's refusal says that nothing ran.
+/// Returns whether an engine's refusal reports that nothing ran.
 /// Thread safety: safe.
 bool ReportsNotRun(std::string_view body);
 
--- a/include/toucanwharf/daemon/entry_advice_provider.h
+++ b/include/toucanwharf/daemon/entry_advice_provider.h
@@ -15,7 +15,7 @@
 
 namespace toucanwharf::daemon {
 
-/// Answers `GET /v1/entries`: which addresses a caller should use.
+/// Answers `GET /v1/entries`: the entry instances that a caller should use.
 /// Thread safety: none; for the loop's thread.
 class EntryAdviceProvider {
  public:
@@ -26,25 +26,25 @@
   /// Returns the advice for \p customer as JSON.
   std::string Advice(const std::string& customer);
 
-  /// Sets who tells which routers left or died, before the platform's list
-  /// does: callers must not be sent to them (I5).
+  /// Sets the check for routers that left or failed. It knows of them earlier
+  /// than the platform's list; callers must not be sent to them (I5).
   void SetDepartedSource(std::function<bool(const std::string& id)> source) {
-    this->is_gone = std::move(source);
+    this->is_departed = std::move(source);
   }
 
-  /// Sets who tells which part of this instance's traffic, 0 to 1, a customer
-  /// has: a large one is spread over all instances.
+  /// Sets the source of a customer's share of this instance's traffic, 0 to 1.
+  /// A customer with a large share is spread over all instances.
   void SetTrafficShare(std::function<double(const std::string&)> source) {
     this->traffic_share = std::move(source);
   }
 
-  /// Returns until when this instance must take new connections when it
-  /// announced at \p announced that it leaves (I6).
+  /// Returns until when this instance must accept new connections if it
+  /// announced its drain at \p announced (I6).
   TimePoint ServeUntil(TimePoint announced) const {
     return this->advisor.ServeUntil(announced);
   }
 
-  /// From now on this instance is in no advice of its own (I6).
+  /// Removes this instance from its own advice from now on (I6).
   void Leave() { this->leaving = true; }
 
  private:
@@ -55,7 +55,7 @@
   routing::EntryAdvisor advisor;
   Random random;
   std::function<double(const std::string&)> traffic_share;
-  std::function<bool(const std::string& id)> is_gone;
+  std::function<bool(const std::string& id)> is_departed;
   bool leaving = false;
 };
 
--- a/include/toucanwharf/daemon/fleet_sync.h
+++ b/include/toucanwharf/daemon/fleet_sync.h
@@ -17,55 +17,61 @@
 
 namespace toucanwharf::daemon {
 
-/// How the fleet reads and brings forward the configuration of this router.
+/// Access to this router's configuration for the exchange with peers.
 struct ConfigCallbacks {
   /// Returns the generation in force.
   std::function<std::uint64_t()> generation;
-  /// Returns what a peer at a generation lacks, or nothing.
+  /// Returns the update for a peer at generation \p since, encoded, or nothing
+  /// when the peer is up to date.
   std::function<std::optional<std::string>(std::uint64_t since)> update_for;
-  /// Takes a peer's text; returns whether a new generation is in force.
-  std::function<bool(const std::string& text)> take_update;
+  /// Applies a peer's encoded update; returns whether a new generation is in
+  /// force.
+  std::function<bool(const std::string& text)> apply_update;
 };
 
-/// Sends an answer of this router to another one; see peers::Handlers::answer.
+/// Sends an answer that this router runs to another router; see
+/// peers::Handlers::answer.
 using AnswerSender =
     std::function<void(const std::string& request, std::uint64_t from,
                        const std::string& customer, peers::AnswerSink)>;
 
-/// Keeps this router in touch with the others: who is there, who leaves, and
-/// which configuration they have.
+/// Exchanges membership, drains and configuration generations with the other
+/// routers.
 ///
-/// A router that sees a higher generation at a peer asks that peer for it, so
-/// that a new instance gets the configuration also while the platform is down
-/// (I7).
+/// A router that sees a higher generation at a peer fetches it from that peer,
+/// so that a new instance gets the configuration even while the platform is
+/// unavailable (I7).
 /// Thread safety: none; for the loop's thread.
 class FleetSync {
  public:
   /// Precondition: all references outlive the object.
   FleetSync(transport::EventLoop& loop, const settings::Settings& settings,
             const Directory& directory, Metrics& metrics,
-            ConfigCallbacks config, AnswerSender answers, std::uint64_t seed);
+            ConfigCallbacks config, AnswerSender answer_sender,
+            std::uint64_t seed);
 
-  /// Listens for peers and begins to talk. Precondition: called once.
+  /// Listens for peers and starts the exchange. Precondition: called once.
   Result<void> Start();
-  /// Tells the others that this router drains (I5).
+  /// Announces to the peers that this router drains (I5).
   void AnnounceDrain() { this->peers.Leave(); }
-  /// Returns whether the router \p id must be in no advice any more.
+  /// Returns whether the router \p id left or failed, so that entry advice must
+  /// not name it.
   bool IsDeparted(const std::string& id) const {
     return this->peers.IsGone(id);
   }
-  /// Returns where peers reach the router that made the request id \p id, if
-  /// it is another one and not known to be dead.
+  /// Returns the peer address of the router that issued the request id \p id,
+  /// if it is another router that is not known to have failed.
   std::optional<std::string> OriginOf(const std::string& id) const;
   /// Returns the client for calls to other routers.
   peers::PeerClient& Client() { return this->peers.Client(); }
-  /// Returns the ids of the routers not known to be dead, this one included.
+  /// Returns the ids of the routers not known to have failed, including this
+  /// one.
   std::vector<std::string> LiveRouters() const;
 
  private:
   void Tick();
-  void FetchFromNewer();
-  void Report();
+  void FetchNewerConfig();
+  void ExportMetrics();
 
   transport::EventLoop& loop;
   const settings::Settings& settings;
--- a/include/toucanwharf/daemon/metrics.h
+++ b/include/toucanwharf/daemon/metrics.h
@@ -30,13 +30,13 @@
   /// Sets the gauge \p name.
   void Set(std::string_view name, double value);
 
-  /// Takes one sample of the summary \p name (seconds in the text).
+  /// Adds one sample to the summary \p name, which is rendered in seconds.
   void Observe(std::string_view name, Duration value);
 
-  /// Returns the value of a counter, 0 for one never counted.
+  /// Returns the value of a counter, 0 if it was never incremented.
   std::uint64_t Value(std::string_view name) const;
 
-  /// Returns all of it as text.
+  /// Returns all metrics as text.
   std::string Render() const;
 
  private:
--- a/include/toucanwharf/daemon/openai.h
+++ b/include/toucanwharf/daemon/openai.h
@@ -15,12 +15,12 @@
 /// Which of the two request shapes a caller used.
 enum class CompletionShape { kChat, kText };
 
-/// A model request as its caller wrote it.
+/// A parsed model request.
 struct CompletionRequest {
   CompletionShape shape = CompletionShape::kChat;
   /// Name of a pipeline record.
   std::string model;
-  /// Messages joined, or the prompt as it came.
+  /// The joined messages, or the prompt unchanged.
   std::string prompt;
   std::uint32_t max_tokens = 0;
   bool stream = false;
@@ -31,14 +31,14 @@
                          const CompletionRequest&) = default;
 };
 
-/// The request, or the refusal that tells what is wrong with it.
+/// The request, or the refusal that describes its first problem.
 using ParsedCompletion = BOOST_OUTCOME_V2_NAMESPACE::basic_result<
     CompletionRequest, Refusal, BOOST_OUTCOME_V2_NAMESPACE::policy::all_narrow>;
 
-/// Reads \p body, which may be any bytes. Thread safety: safe.
+/// Parses \p body, which may be any bytes. Thread safety: safe.
 ParsedCompletion ParseCompletion(CompletionShape shape, std::string_view body);
 
-/// Names one answer in the shape its caller expects.
+/// Identifies one answer in the response format that its caller expects.
 struct CompletionNaming {
   CompletionShape shape = CompletionShape::kChat;
   std::string id;
@@ -50,7 +50,8 @@
 };
 
 /// Returns the data of the stream event for one token. Its member
-/// `index_in_answer` is where a resume goes on. Thread safety: safe.
+/// `index_in_answer` is the position from which a caller can resume.
+/// Thread safety: safe.
 std::string TokenChunk(const CompletionNaming& naming, std::uint32_t index,
                        std::string_view text);
 
@@ -58,7 +59,7 @@
 std::string FinishChunk(const CompletionNaming& naming,
                         std::string_view finish_reason);
 
-/// Returns the body of an answer that is sent whole. Thread safety: safe.
+/// Returns the body of an answer that is not streamed. Thread safety: safe.
 std::string WholeAnswer(const CompletionNaming& naming,
                         const std::vector<std::string>& tokens,
                         std::uint32_t prompt_tokens,
--- a/include/toucanwharf/daemon/refusal.h
+++ b/include/toucanwharf/daemon/refusal.h
@@ -11,15 +11,15 @@
 
 namespace toucanwharf::daemon {
 
-/// What a caller is told when it gets no answer, or not all of it.
+/// Error sent to a caller that gets no answer, or only part of it.
 struct Refusal {
   int status = 503;
   /// Short and stable, for programs: "busy", "no_cover", "bad_key".
   std::string code;
-  /// For people; names the remedy.
+  /// Human-readable; names the remedy.
   std::string message;
   pipeline::Ran ran = pipeline::Ran::kNo;
-  /// When to come back; absent when coming back would not help.
+  /// Delay before a retry; absent when a retry would not help.
   std::optional<Duration> retry_after;
   std::string request_id;
 
@@ -31,7 +31,7 @@
 /// Thread safety: safe.
 std::string BodyOf(const Refusal& refusal);
 
-/// Sends \p refusal as the whole answer of \p exchange.
+/// Sends \p refusal as the entire response of \p exchange.
 /// Precondition: the exchange has no answer yet. Thread safety: safe.
 void Send(transport::Exchange& exchange, const Refusal& refusal);
 
@@ -39,11 +39,12 @@
 /// Thread safety: safe.
 Refusal MakeRefusal(int status, std::string code, std::string message);
 
-/// Returns the refusal for an answer that is not kept, \p why in words.
+/// Returns the refusal for an answer that is not retained; \p why becomes its
+/// message.
 /// Thread safety: safe.
 Refusal UnknownAnswer(const std::string& id, std::string why);
 
-/// Begins the stream of the answer \p id.
+/// Starts the event stream of the answer \p id.
 /// Precondition: the exchange has no answer yet. Thread safety: safe.
 void BeginStream(transport::Exchange& exchange, const std::string& id);
 
--- a/include/toucanwharf/daemon/router.h
+++ b/include/toucanwharf/daemon/router.h
@@ -8,10 +8,10 @@
 
 namespace toucanwharf::daemon {
 
-/// One router process: everything between its listeners and what it calls.
+/// One router process: its listeners and the components behind them.
 class Router {
  public:
-  /// Opens the listeners. Errors: transport errors, when one is taken.
+  /// Opens the listeners. Errors: transport errors, when an address is in use.
   static Result<std::unique_ptr<Router>> Open(settings::Settings settings);
   ~Router();
   Router(const Router&) = delete;
@@ -20,9 +20,9 @@
   /// Serves until a drain is complete. Precondition: called once.
   void Run();
 
-  /// Begins a drain: leaves the advice at once, serves until every answer of
-  /// it that was given out has expired, closes the listener, finishes what
-  /// runs (I6). The second call does nothing.
+  /// Starts a drain (I6): leaves the entry advice immediately, accepts
+  /// connections until all advice given out has expired, then closes the
+  /// listener and finishes what is running. A second call does nothing.
   /// Thread safety: safe.
   void Drain();
 
--- a/include/toucanwharf/daemon/service_runner.h
+++ b/include/toucanwharf/daemon/service_runner.h
@@ -19,7 +19,7 @@
 
 namespace toucanwharf::daemon {
 
-/// One call of a plain service.
+/// One call of a plain service, as received from its caller.
 struct ServiceJob {
   std::string request_id;
   std::string customer;
@@ -28,7 +28,7 @@
   /// Path below the service, escaped, with a leading slash and the query.
   std::string target;
   std::string content_type;
-  /// Names the call for repeats; never empty for a non-idempotent call.
+  /// Identifies repeats of the call; never empty for a non-idempotent call.
   std::string idempotency_key;
   bool idempotent = false;
   std::string body;
@@ -36,7 +36,7 @@
   friend bool operator==(const ServiceJob&, const ServiceJob&) = default;
 };
 
-/// The service's own answer.
+/// Response of the service itself.
 struct ServiceAnswer {
   int status = 0;
   std::string content_type;
@@ -47,19 +47,20 @@
 
 using ServiceResult = std::variant<ServiceAnswer, Refusal>;
 
-/// Returns whether \p service says that a call may be repeated. A call that no
-/// line of the record matches may not.
+/// Returns whether the record of \p service marks a call as repeatable. A call
+/// that matches no entry of the record is not.
 /// Thread safety: safe.
 bool IsIdempotent(const records::Service& service, const std::string& method,
                   const std::string& path);
 
 /// Sends calls of plain services to their endpoints.
 ///
-/// An idempotent call is tried at up to three endpoints. A non-idempotent one
-/// goes to another endpoint only if surely no byte of it was sent, or the
-/// endpoint said that it did not run (I3, I4). With a key of the caller's own
-/// it is claimed in the journal before the first byte goes out, so that a
-/// repeat through any router doesn't run again and gets the first answer.
+/// An idempotent call is attempted at up to three endpoints. A non-idempotent
+/// one is retried only if it is certain that no byte of it was sent, or the
+/// endpoint reported that it did not run (I3, I4). If the caller supplied a
+/// key, the call is claimed in the journal before its first byte is sent, so
+/// that a repeat through any router doesn't run again and gets the first
+/// answer.
 /// Thread safety: none; for the loop's thread.
 class ServiceRunner {
  public:
@@ -70,21 +71,21 @@
                 platform::IdempotencyJournal& journal, Metrics& metrics,
                 std::uint64_t seed);
 
-  /// Begins a call; \p done comes once.
+  /// Starts a call; \p done is called once.
   void Start(ServiceJob job, Done done);
 
-  /// Returns the number of calls under way.
+  /// Returns the number of calls in progress.
   std::size_t Running() const { return this->calls_running; }
 
  private:
   struct Call;
 
   void ClaimKey(const std::shared_ptr<Call>& call);
-  void TakeVerdict(const std::shared_ptr<Call>& call, once::Verdict verdict);
-  void Conclude(const Call& call, const ServiceResult& result);
-  void Try(const std::shared_ptr<Call>& call);
-  void TakeOutcome(const std::shared_ptr<Call>& call,
-                   const transport::HttpOutcome& outcome);
+  void OnVerdict(const std::shared_ptr<Call>& call, once::Verdict verdict);
+  void RecordOutcome(const Call& call, const ServiceResult& result);
+  void StartAttempt(const std::shared_ptr<Call>& call);
+  void OnOutcome(const std::shared_ptr<Call>& call,
+                 const transport::HttpOutcome& outcome);
   void Finish(const std::shared_ptr<Call>& call, ServiceResult result);
 
   transport::HttpClient& client;
--- a/include/toucanwharf/platform/client.h
+++ b/include/toucanwharf/platform/client.h
@@ -12,25 +12,25 @@
 #include "toucanwharf/transport/event_loop.h"
 #include "toucanwharf/transport/http_client.h"
 
-/// The platform's object API over HTTP, and the drivers of the core's state
-/// machines that work on it.
+/// Client of the platform's object API over HTTP, and the drivers that run the
+/// core's state machines on it.
 namespace toucanwharf::platform {
 
 enum class WatchStatus { kEvents, kRevisionExpired, kUnknown };
 
-/// Answer of a watch.
+/// Result of a watch.
 struct WatchAnswer {
   WatchStatus status = WatchStatus::kUnknown;
-  /// Revision that the events lead to.
-  std::uint64_t reached = 0;
+  /// Revision of the collection after the events.
+  std::uint64_t revision = 0;
   std::vector<store::Event> events;
 
   friend bool operator==(const WatchAnswer&, const WatchAnswer&) = default;
 };
 
-/// Calls the platform within this instance's budget. A call that the budget or
-/// an outage holds back waits, and ends as unknown when it waited too long.
-/// Every callback runs once, later, on the loop's thread.
+/// Calls the platform within this instance's call budget. A call that the
+/// budget or an outage delays for too long ends as unknown. Every callback runs
+/// once, asynchronously, on the loop's thread.
 /// Thread safety: none; for the loop's thread.
 class Client {
  public:
@@ -42,36 +42,37 @@
             std::function<void(store::ReadAnswer)> done);
   void Write(const store::Write& write,
              std::function<void(store::WriteAnswer)> done);
-  /// Writes without a condition: only for objects of one writer, or such as
-  /// are put right again later. \p done, if any, is told whether the write
-  /// surely took effect.
+  /// Writes unconditionally: only for objects with a single writer, or that are
+  /// corrected by a later write. \p done, if any, receives whether the write is
+  /// known to have taken effect.
   void Put(const store::ObjectKey& key, const std::string& writer,
            const std::string& value, std::function<void(bool)> done = nullptr);
-  /// Calls back with nothing when there was no answer.
+  /// Passes nothing to \p done when there was no valid response.
   void List(const std::string& collection,
             std::function<void(std::optional<store::Listing>)> done);
-  /// Waits up to \p wait for changes after the revision \p after.
+  /// Waits up to \p wait for changes after revision \p after.
   void Watch(const std::string& collection, std::uint64_t after, Duration wait,
              std::function<void(WatchAnswer)> done);
 
   /// Returns the number of calls sent so far.
   std::uint64_t Calls() const { return this->calls; }
-  /// Returns whether the last call went unanswered.
-  bool Failing() const { return this->gate.Failing(); }
+  /// Returns whether the last call got no response.
+  bool Failing() const { return this->call_limiter.Failing(); }
 
  private:
   using Done = std::function<void(const transport::HttpOutcome&)>;
 
-  void Start(transport::HttpCall call, store::CallLimiter& through, Done done);
-  void Enter(transport::HttpCall call, store::CallLimiter& through, Done done,
-             TimePoint give_up);
+  void Start(transport::HttpCall call, store::CallLimiter& limiter, Done done);
+  void StartWhenAllowed(transport::HttpCall call, store::CallLimiter& limiter,
+                        Done done, TimePoint deadline);
 
   transport::EventLoop& loop;
   transport::HttpClient& http;
   std::string address;
-  store::CallLimiter gate;
-  /// Watches wait long, and must not count as calls under way in `gate`.
-  store::CallLimiter watch_gate;
+  store::CallLimiter call_limiter;
+  /// Watches are long-lived and must not count as calls in flight in
+  /// `call_limiter`.
+  store::CallLimiter watch_limiter;
   std::uint64_t calls = 0;
 };
 
--- a/include/toucanwharf/platform/config_service.h
+++ b/include/toucanwharf/platform/config_service.h
@@ -19,66 +19,71 @@
 
 namespace toucanwharf::platform {
 
-/// Keeps this instance's configuration in force, takes part in the lease
-/// `acceptance`, and while it holds that, accepts what operators write (I7).
+/// Follows the configuration in the store, competes for the lease `acceptance`
+/// and, while it holds the lease, reviews and publishes the records that
+/// operators write (I7).
 /// Thread safety: none; for the loop's thread.
 class ConfigService {
  public:
-  /// \p instance names the instance, \p incarnation this process of it.
+  /// \p instance is the id of this instance, \p incarnation identifies this
+  /// process.
   /// Precondition: the references outlive the service.
   ConfigService(transport::EventLoop& loop, Client& client,
                 std::string instance, const std::string& incarnation);
 
-  /// Begins to follow and to take part. Precondition: called once.
+  /// Starts following the configuration and competing for the lease.
+  /// Precondition: called once.
   void Start();
 
-  /// Returns the catalog in force; generation 0 and empty before the first.
+  /// Returns the catalog in force; empty with generation 0 before the first.
   const records::Catalog& Catalog() const { return this->catalog; }
-  /// Sets what is called after each new generation.
+  /// Sets the callback for each new generation.
   void OnChange(std::function<void()> callback) {
     this->on_change = std::move(callback);
   }
-  /// Sets who answers which routers are live, by instance id: a record waits
-  /// for all of them to read its schema. Without it only those that reported.
+  /// Sets the source of the ids of live routers: a record waits until this
+  /// instance and all of them that reported can read its schema. Without a
+  /// source, only this instance counts.
   void SetLiveRouters(std::function<std::vector<std::string>()> source) {
     this->live_routers = std::move(source);
   }
 
-  /// Returns what a peer at generation \p have lacks, as text for it, or
-  /// nothing.
+  /// Returns the encoded update for a peer at generation \p have, or nothing if
+  /// it is up to date.
   std::optional<std::string> UpdateFor(std::uint64_t have) const;
-  /// Takes a peer's text. Returns whether a new generation is in force.
+  /// Applies a peer's encoded update. Returns whether a new generation is in
+  /// force.
   bool OnPeerUpdate(const std::string& text);
 
-  /// Returns whether this instance holds the lease now.
+  /// Returns whether this instance currently holds the lease.
   bool HoldsLease() const { return this->lease.MayAct(this->loop.Now()); }
-  /// Gives the lease back; for a planned stop.
+  /// Releases the lease before a planned stop.
   void ReleaseLease() { this->lease.Release(); }
 
  private:
-  void FollowHead();
-  void FollowWatch(std::uint64_t after);
-  void TakeEvents(const WatchAnswer& answer);
-  void Fetch();
-  void Adopted();
-  /// Tells the holder of the lease what this router has in force.
+  void ReadHead();
+  void WatchHead(std::uint64_t after);
+  void ApplyEvents(const WatchAnswer& answer);
+  void FetchNext();
+  void OnAdopted();
+  /// Reports to the lease holder which generation this router has in force.
   ///
-  /// Failure guarded against: two reports that are under way at once land in
-  /// either order, or the only one is lost. The older generation then stands
-  /// for good, and the status says that this router is behind, although it
-  /// isn't (seen as "in force on 5 of 6"). The guard: one report at a time, and
-  /// another one until the newest generation surely stands.
-  void Report();
+  /// Guards against concurrent reports that are applied out of order, and
+  /// against the loss of the only one: the older generation would stay in the
+  /// store, and the status would list this router as behind although it isn't
+  /// ("in force on 5 of 6"). So one report is in flight at a time, and it is
+  /// repeated until the newest generation is known to be written.
+  void ReportInForce();
 
   void Tick();
   void TickLease();
   void TickMirror();
   void TickPublish();
   void TickStatuses();
-  void CarryPublish(const control::LeaseCall& call);
-  void TakeHead(const std::optional<store::Object>& head);
-  void TakeStatuses(const store::Listing& listing);
-  void NoteStatuses(const control::Review& review, std::uint64_t generation);
+  void PerformPublishCall(const control::LeaseCall& call);
+  void ApplyHead(const std::optional<store::Object>& head);
+  void OnStatuses(const store::Listing& listing);
+  void RecordStatuses(const control::Review& review, std::uint64_t generation);
   control::SchemaReaders Readers() const;
 
   transport::EventLoop& loop;
@@ -89,22 +94,22 @@
   control::Lease lease;
   control::Publisher publisher;
   store::Mirror records_mirror;
-  bool mirror_waits = false;
-  bool fetching = false;
-  bool statuses_wait = false;
-  bool reporting = false;
-  TimePoint next_statuses;
-  /// What the routers report of themselves: generation and schemas.
+  bool mirror_call_in_flight = false;
+  bool read_in_flight = false;
+  bool status_list_in_flight = false;
+  bool report_in_flight = false;
+  TimePoint next_status_time;
+  /// Generation and schemas that a router reported.
   struct RouterReport {
     std::uint64_t generation = 0;
     std::set<std::string> schemas;
   };
   std::map<std::string, RouterReport> reports;
-  struct NotedStatus {
+  struct RecordedStatus {
     control::RecordStatus status;
     std::uint64_t generation = 0;
   };
-  std::map<std::string, NotedStatus> statuses;
+  std::map<std::string, RecordedStatus> statuses;
   std::function<void()> on_change;
   std::function<std::vector<std::string>()> live_routers;
   records::Catalog catalog;
--- a/include/toucanwharf/platform/idempotency_journal.h
+++ b/include/toucanwharf/platform/idempotency_journal.h
@@ -12,23 +12,23 @@
 
 namespace toucanwharf::platform {
 
-/// A non-idempotent request, as the journal knows it.
+/// A non-idempotent request that carries an idempotency key.
 struct IdempotentRequest {
   std::string customer;
   std::string service;
   /// The caller's idempotency key, a UUID version 7.
   std::string idempotency_key;
-  /// What must be the same in a repeat: method, target and body.
+  /// Method, target and body, which must be the same in a repeat.
   std::string content;
-  /// The caller gets a verdict by then.
+  /// Maximum wait for a verdict.
   Duration verdict_timeout{std::chrono::seconds(3)};
 
   friend bool operator==(const IdempotentRequest&,
                          const IdempotentRequest&) = default;
 };
 
-/// The journal of idempotency keys over the platform (I4). Claims made through
-/// any instance exclude each other.
+/// The journal of idempotency keys in the platform's store (I4). Of all claims
+/// for a key, through any instance, at most one is granted.
 /// Thread safety: none; for the loop's thread.
 class IdempotencyJournal {
  public:
@@ -39,29 +39,29 @@
   IdempotencyJournal(transport::EventLoop& loop, Client& client,
                      const std::string& incarnation);
 
-  /// Asks for the request's key; \p done gets the verdict, later. Returns the
-  /// claim's id, for Conclude.
+  /// Claims the request's key; \p done receives the verdict asynchronously.
+  /// Returns the claim's id, for RecordOutcome.
   std::string Claim(const IdempotentRequest& request, Done done);
 
-  /// Records how a granted claim ended. Precondition: called exactly once for
-  /// each claim that was granted; \p state isn't kClaimed.
-  void Conclude(const IdempotentRequest& request, const std::string& claim,
-                once::KeyState state, once::Outcome outcome);
+  /// Records the outcome of a granted claim. Precondition: called exactly once
+  /// for each claim that was granted; \p state isn't kClaimed.
+  void RecordOutcome(const IdempotentRequest& request, const std::string& claim,
+                     once::KeyState state, once::Outcome outcome);
 
-  /// Returns whether no claim waits and every outcome is recorded.
+  /// Returns whether no claim is pending and every outcome is recorded.
   bool Idle() const;
 
  private:
   once::Shard& ShardOf(const std::string& key);
-  void Pump();
-  void PumpShard(once::Shard& shard);
-  void Carry(once::Shard& shard, const once::ShardCall& call);
-  void Deliver(once::Shard& shard);
+  void PollShards();
+  void PollShard(once::Shard& shard);
+  void PerformCall(once::Shard& shard, const once::ShardCall& call);
+  void DeliverDecisions(once::Shard& shard);
 
   transport::EventLoop& loop;
   Client& client;
   std::vector<once::Shard> shards;
-  std::map<std::string, Done> waiting;
+  std::map<std::string, Done> pending;
   bool timer_set = false;
 };
 
--- a/include/toucanwharf/platform/record_inspector.h
+++ b/include/toucanwharf/platform/record_inspector.h
@@ -11,16 +11,16 @@
 
 namespace toucanwharf::platform {
 
-/// Inspects records by the schemas that this build reads. It remembers what it
-/// parsed: a review looks at every accepted record for each new one.
+/// Inspects records by the schemas that this build reads. Caches parsed
+/// records, since a review examines every accepted record for each new one.
 /// Thread safety: none; for one thread.
 class SchemaRecordInspector {
  public:
-  /// Returns the schema of record \p name and what is wrong with it, alone and
-  /// among \p records. Precondition: \p records hold \p name.
+  /// Returns the schema of record \p name and its problems, both by itself and
+  /// together with \p records. Precondition: \p records contain \p name.
   control::Inspection Inspect(const control::RecordMap& records,
                               const std::string& name) const;
-  /// Returns why \p records, which lack \p name, need it.
+  /// Returns why \p records, from which \p name was removed, still need it.
   std::vector<std::string> InspectRemoval(const control::RecordMap& records,
                                           const std::string& name) const;
 
@@ -33,8 +33,8 @@
 
 static_assert(control::RecordInspector<SchemaRecordInspector>);
 
-/// Returns the typed catalog of \p config. A record that this build can't read
-/// is left out.
+/// Returns the typed catalog of \p config. Records that this build can't read
+/// are left out.
 /// Thread safety: safe.
 records::Catalog CatalogOf(const control::Config& config);
 
--- a/lib/daemon/admin_api.cc
+++ b/lib/daemon/admin_api.cc
@@ -25,8 +25,9 @@
 
 }  // namespace
 
-AdminApi::AdminApi(std::string admin_key, AdminCallbacks ports)
-    : key_hash(Sha256Hex(kBearer + admin_key)), ports(std::move(ports)) {}
+AdminApi::AdminApi(std::string admin_key, AdminCallbacks callbacks)
+    : key_hash(Sha256Hex(kBearer + admin_key)),
+      callbacks(std::move(callbacks)) {}
 
 void AdminApi::Serve(const std::shared_ptr<transport::Exchange>& exchange) {
   const transport::HttpRequest& request = exchange->Request();
@@ -38,14 +39,14 @@
   }
   const bool get = request.method == "GET";
   if (get && request.path == "/admin/status") {
-    SendJson(*exchange, this->ports.status());
+    SendJson(*exchange, this->callbacks.status());
   } else if (get && request.path == "/admin/timeline") {
-    SendJson(*exchange, this->ports.timeline(AfterArgument(request)));
+    SendJson(*exchange, this->callbacks.timeline(AfterArgument(request)));
   } else if (get && request.path == "/metrics") {
     exchange->Respond(kOk, {{"Content-Type", "text/plain; version=0.0.4"}},
-                      this->ports.metrics());
+                      this->callbacks.metrics());
   } else if (request.method == "POST" && request.path == "/admin/drain") {
-    this->ports.drain();
+    this->callbacks.drain();
     SendJson(*exchange, "{\"draining\":true}\n");
   } else {
     Send(*exchange, MakeRefusal(kNotFound, "unknown_path",
--- a/lib/daemon/answer_admission.cc
+++ b/lib/daemon/answer_admission.cc
@@ -12,13 +12,13 @@
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 
-/// Added to the wait at an engine without room when an answer under way needs
-/// a new stage: more than the wait for a slot is in most cases, so that a free
-/// engine is taken first.
-constexpr Duration kFullPenalty = std::chrono::seconds(1);
+/// Added to the expected wait at an engine without free capacity when a running
+/// answer needs a new stage. Exceeds the usual wait for a slot, so that an
+/// engine with free capacity is preferred.
+constexpr Duration kNoCapacityPenalty = std::chrono::seconds(1);
 
-/// Until engines report how fast they prefill: what admission's cost of a
-/// prompt token says.
+/// Assumed while engines don't report their prefill speed; follows from the
+/// cost that admission charges for a prompt token.
 constexpr double kPromptTokensPerOutputToken = 1 / admission::kPromptTokenCost;
 
 routing::EndpointSpec SpecOf(const pipeline::EndpointView& view,
@@ -40,26 +40,26 @@
   return stages;
 }
 
-/// Score for the planner: the wait at an endpoint, corrected by this router's
-/// own work; nothing for one that must not get work.
+/// Score for the planner: the expected wait at an endpoint, including work that
+/// this router has sent there; nothing for an endpoint that must not be used.
 struct CorrectedWait {
-  const admission::AdmissionController* gate = nullptr;
+  const admission::AdmissionController* controller = nullptr;
   routing::EndpointNames* names = nullptr;
   TimePoint now;
   routing::Work work;
-  /// Whether only endpoints with room count.
-  bool room_only = true;
+  /// Whether endpoints without free capacity are excluded.
+  bool require_capacity = true;
 
   std::optional<Duration> operator()(const pipeline::EndpointView& view) const {
     const routing::Endpoint endpoint = this->names->NumberOf(view.id);
-    if (!this->gate->Ejections().Usable(this->now, endpoint)) {
+    if (!this->controller->Ejections().Usable(this->now, endpoint)) {
       return std::nullopt;
     }
     const Duration wait =
-        this->gate->Loads().ExpectedWait(endpoint, this->work);
-    if (this->gate->HasRoom(endpoint)) return wait;
-    if (this->room_only) return std::nullopt;
-    return wait + kFullPenalty;
+        this->controller->Loads().ExpectedWait(endpoint, this->work);
+    if (this->controller->HasRoom(endpoint)) return wait;
+    if (this->require_capacity) return std::nullopt;
+    return wait + kNoCapacityPenalty;
   }
 };
 
@@ -84,16 +84,18 @@
       random(seed) {}
 
 void AnswerAdmission::Start() {
-  EngineObservers watchers;
-  watchers.on_status = [this](const pipeline::EndpointView& view,
-                              std::uint32_t slots) {
-    this->TakeStatus(view, slots);
+  EngineObservers observers;
+  observers.on_status = [this](const pipeline::EndpointView& view,
+                               std::uint32_t slots) {
+    this->ApplyStatus(view, slots);
   };
-  watchers.on_load = [this](const std::string& id, const EngineLoad& load) {
-    this->TakeLoad(id, load);
+  observers.on_load = [this](const std::string& id, const EngineLoad& load) {
+    this->ApplyLoad(id, load);
   };
-  watchers.on_gone = [this](const std::string& id) { this->TakeGone(id); };
-  this->directory.SetObservers(std::move(watchers));
+  observers.on_removed = [this](const std::string& id) {
+    this->RemoveEngine(id);
+  };
+  this->directory.SetObservers(std::move(observers));
   this->Tick();
 }
 
@@ -108,80 +110,85 @@
   offered.size.prompt_tokens = request.prompt_tokens;
   offered.size.max_tokens = request.max_tokens;
   offered.deadline = request.deadline;
-  Held held;
-  held.pool = key;
-  held.request = request;
-  held.customer = customer;
-  held.handlers = std::move(handlers);
-  this->offers.emplace(request.id, std::move(held));
-  const auto answer = this->PoolOf(key).gate.Offer(this->loop.Now(), offered);
-  if (const auto* refusal = std::get_if<admission::Refusal>(&answer)) {
+  OfferedAnswer answer;
+  answer.pool = key;
+  answer.request = request;
+  answer.customer = customer;
+  answer.handlers = std::move(handlers);
+  this->offers.emplace(request.id, std::move(answer));
+  const auto result =
+      this->FindOrCreatePool(key).controller.Offer(this->loop.Now(), offered);
+  if (const auto* refusal = std::get_if<admission::Refusal>(&result)) {
     this->Refuse(*refusal);
     return;
   }
-  this->Pump(key);
+  this->AdmitWaiting(key);
 }
 
 Result<pipeline::Plan> AnswerAdmission::Replan(
     const pipeline::PlanQuery& query) {
-  Pool& pool = this->PoolOf({query.model.model, query.model.version});
+  Pool& pool = this->FindOrCreatePool({query.model.model, query.model.version});
   CorrectedWait score;
-  score.gate = &pool.gate;
-  score.names = &pool.gate.Names();
+  score.controller = &pool.controller;
+  score.names = &pool.controller.Names();
   score.now = this->loop.Now();
-  score.room_only = false;
+  score.require_capacity = false;
   auto plan = this->directory.Engines().Choose(query, this->random, score);
   if (plan) return plan;
-  // Ejection only prefers: where what is left makes no cover, an ejected
-  // engine is tried before the answer is given up.
+  // Ejection is only a preference: if the remaining engines make no cover,
+  // ejected ones are used before the answer fails.
   return this->directory.Engines().Choose(query, this->random);
 }
 
 void AnswerAdmission::RecordPlan(const std::string& id,
                                  const pipeline::Plan& plan) {
-  const auto held = this->offers.find(id);
-  if (held == this->offers.end() || held->second.waiting) return;
-  if (held->second.plan == plan) return;
-  held->second.plan = plan;
-  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
-  gate.Rerouted(this->loop.Now(), id, StagesOf(gate.Names(), plan));
+  const auto answer = this->offers.find(id);
+  if (answer == this->offers.end() || answer->second.waiting) return;
+  if (answer->second.plan == plan) return;
+  answer->second.plan = plan;
+  admission::AdmissionController& controller =
+      this->FindOrCreatePool(answer->second.pool).controller;
+  controller.Rerouted(this->loop.Now(), id, StagesOf(controller.Names(), plan));
 }
 
 void AnswerAdmission::RecordEndpointRefusal(const std::string& id,
                                             const std::string& endpoint) {
-  const auto held = this->offers.find(id);
-  if (held == this->offers.end()) return;
-  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
-  gate.EndpointFull(gate.Names().NumberOf(endpoint));
+  const auto answer = this->offers.find(id);
+  if (answer == this->offers.end()) return;
+  admission::AdmissionController& controller =
+      this->FindOrCreatePool(answer->second.pool).controller;
+  controller.EndpointFull(controller.Names().NumberOf(endpoint));
 }
 
 void AnswerAdmission::RecordEndpointFailure(const std::string& id,
                                             const std::string& endpoint) {
-  const auto held = this->offers.find(id);
-  if (held == this->offers.end()) return;
-  admission::AdmissionController& gate = this->PoolOf(held->second.pool).gate;
-  const bool ejected =
-      gate.Failed(this->loop.Now(), gate.Names().NumberOf(endpoint));
+  const auto answer = this->offers.find(id);
+  if (answer == this->offers.end()) return;
+  admission::AdmissionController& controller =
+      this->FindOrCreatePool(answer->second.pool).controller;
+  const bool ejected = controller.Failed(this->loop.Now(),
+                                         controller.Names().NumberOf(endpoint));
   if (ejected) this->metrics.Count("toucanwharf_ejections_total");
 }
 
 void AnswerAdmission::RecordEnd(const std::string& id, bool whole,
                                 std::uint32_t tokens) {
-  const auto held = this->offers.find(id);
-  if (held == this->offers.end()) return;
-  const PoolKey key = held->second.pool;
-  this->offers.erase(held);
-  this->PoolOf(key).gate.Finished(
+  const auto answer = this->offers.find(id);
+  if (answer == this->offers.end()) return;
+  const PoolKey key = answer->second.pool;
+  this->offers.erase(answer);
+  this->FindOrCreatePool(key).controller.Finished(
       this->loop.Now(), id,
       whole ? admission::Outcome::kWhole : admission::Outcome::kFailed, tokens);
-  this->Pump(key);
+  this->AdmitWaiting(key);
 }
 
 bool AnswerAdmission::Cancel(const std::string& id) {
-  const auto held = this->offers.find(id);
-  if (held == this->offers.end() || !held->second.waiting) return false;
-  this->PoolOf(held->second.pool).gate.Cancel(this->loop.Now(), id);
-  this->offers.erase(held);
+  const auto answer = this->offers.find(id);
+  if (answer == this->offers.end() || !answer->second.waiting) return false;
+  this->FindOrCreatePool(answer->second.pool)
+      .controller.Cancel(this->loop.Now(), id);
+  this->offers.erase(answer);
   return true;
 }
 
@@ -190,7 +197,7 @@
   double all = 0;
   for (auto& [key, pool] : this->pools) {
     for (const auto& [name, tokens] :
-         pool.gate.CustomerShares().Served().served) {
+         pool.controller.CustomerShares().Served().served) {
       all += tokens;
       if (name == customer) own += tokens;
     }
@@ -198,74 +205,77 @@
   return all > 0 ? own / all : 0;
 }
 
-AnswerAdmission::Pool& AnswerAdmission::PoolOf(const PoolKey& key) {
+AnswerAdmission::Pool& AnswerAdmission::FindOrCreatePool(const PoolKey& key) {
   const auto found = this->pools.find(key);
   if (found != this->pools.end()) return found->second;
   const std::uint64_t pool_seed = this->seed + this->pools.size() + 1;
   return this->pools.try_emplace(key, pool_seed).first->second;
 }
 
-AnswerAdmission::Pool* AnswerAdmission::PoolWith(const std::string& endpoint) {
+AnswerAdmission::Pool* AnswerAdmission::FindPoolOfEngine(
+    const std::string& endpoint) {
   const auto key = this->pool_of_engine.find(endpoint);
   if (key == this->pool_of_engine.end()) return nullptr;
-  return &this->PoolOf(key->second);
+  return &this->FindOrCreatePool(key->second);
 }
 
-void AnswerAdmission::TakeStatus(const pipeline::EndpointView& view,
-                                 std::uint32_t slots) {
+void AnswerAdmission::ApplyStatus(const pipeline::EndpointView& view,
+                                  std::uint32_t slots) {
   const PoolKey key{view.model, view.version};
   const auto before = this->pool_of_engine.find(view.id);
   const bool moved =
       before != this->pool_of_engine.end() && before->second != key;
   if (moved || view.state != pipeline::EndpointState::kLive) {
-    this->TakeGone(view.id);
+    this->RemoveEngine(view.id);
   }
   if (view.state != pipeline::EndpointState::kLive) return;
-  // An engine that came to this version by an order has cold caches; one that
-  // was there when the router found it has not.
+  // An engine that an order moved to this version has cold caches; one that
+  // served it when this router first saw it does not.
   this->pool_of_engine[view.id] = key;
-  this->PoolOf(key).gate.AddEndpoint(this->loop.Now(), view.id,
-                                     SpecOf(view, slots), moved);
-  this->Pump(key);
+  this->FindOrCreatePool(key).controller.AddEndpoint(
+      this->loop.Now(), view.id, SpecOf(view, slots), moved);
+  this->AdmitWaiting(key);
 }
 
-void AnswerAdmission::TakeLoad(const std::string& id, const EngineLoad& load) {
-  Pool* pool = this->PoolWith(id);
+void AnswerAdmission::ApplyLoad(const std::string& id, const EngineLoad& load) {
+  Pool* pool = this->FindPoolOfEngine(id);
   if (pool == nullptr) return;
   routing::LoadReport report;
   report.running = load.running;
   report.queued_tokens = load.queued_tokens;
   report.kv_tokens_free = load.kv_tokens_free;
   report.as_of = this->loop.Now() - load.age;
-  pool->gate.Report(id, report);
-  this->Pump(this->pool_of_engine.at(id));
+  pool->controller.Report(id, report);
+  this->AdmitWaiting(this->pool_of_engine.at(id));
 }
 
-void AnswerAdmission::TakeGone(const std::string& id) {
-  Pool* pool = this->PoolWith(id);
+void AnswerAdmission::RemoveEngine(const std::string& id) {
+  Pool* pool = this->FindPoolOfEngine(id);
   if (pool == nullptr) return;
-  pool->gate.RemoveEndpoint(id);
+  pool->controller.RemoveEndpoint(id);
   this->pool_of_engine.erase(id);
 }
 
-void AnswerAdmission::Pump(const PoolKey& key) {
-  admission::AdmissionController& gate = this->PoolOf(key).gate;
+void AnswerAdmission::AdmitWaiting(const PoolKey& key) {
+  admission::AdmissionController& controller =
+      this->FindOrCreatePool(key).controller;
   std::optional<pipeline::Plan> plan;
-  const auto planner = [&](const admission::Request& wanted,
+  const auto planner = [&](const admission::Request& request,
                            const routing::Work& work) -> std::optional<Stages> {
-    CorrectedWait score{&gate, &gate.Names(), this->loop.Now(), work, true};
+    CorrectedWait score{&controller, &controller.Names(), this->loop.Now(),
+                        work, true};
     const auto chosen = this->directory.Engines().Choose(
-        QueryOf(this->offers.at(wanted.id).request), this->random, score);
+        QueryOf(this->offers.at(request.id).request), this->random, score);
     if (!chosen) return std::nullopt;
     plan = chosen.value();
-    return StagesOf(gate.Names(), *plan);
+    return StagesOf(controller.Names(), *plan);
   };
-  while (const auto next = gate.Next(this->loop.Now(), planner)) {
-    Held& held = this->offers.at(next->id);
-    held.waiting = false;
-    held.plan = plan;
-    // The handler may end the answer at once and come back here.
-    const auto on_plan = held.handlers.on_plan;
+  while (const auto next = controller.Next(this->loop.Now(), planner)) {
+    OfferedAnswer& answer = this->offers.at(next->id);
+    answer.waiting = false;
+    answer.plan = plan;
+    // The handler may end the answer immediately and reenter this function.
+    const auto on_plan = answer.handlers.on_plan;
     on_plan(*plan);
   }
 }
@@ -277,19 +287,20 @@
     if (!instance.leaving) ++routers;
   }
   for (auto& [key, pool] : this->pools) {
-    pool.gate.SetRouters(std::max(routers, 1U));
-    for (const admission::Refusal& late : pool.gate.Tick(this->loop.Now())) {
-      this->Refuse(late);
+    pool.controller.SetRouters(std::max(routers, 1U));
+    for (const admission::Refusal& expired :
+         pool.controller.Tick(this->loop.Now())) {
+      this->Refuse(expired);
     }
-    this->Pump(key);
+    this->AdmitWaiting(key);
   }
   this->loop.After(kTickPeriod, [this] { this->Tick(); });
 }
 
 void AnswerAdmission::Refuse(const admission::Refusal& refusal) {
-  const auto held = this->offers.find(refusal.id);
-  const auto on_refuse = held->second.handlers.on_refuse;
-  this->offers.erase(held);
+  const auto answer = this->offers.find(refusal.id);
+  const auto on_refuse = answer->second.handlers.on_refuse;
+  this->offers.erase(answer);
   on_refuse(refusal);
 }
 
--- a/lib/daemon/answer_relay.cc
+++ b/lib/daemon/answer_relay.cc
@@ -8,15 +8,15 @@
 namespace toucanwharf::daemon {
 namespace {
 
-// Tokens that came meanwhile go out together. Under half of the time between
-// two tokens of a fast engine, so that a caller sees no difference.
+// Tokens that arrive within a period are sent together. Under half of the time
+// between two tokens of a fast engine, so that callers see no difference.
 constexpr Duration kServePeriod = std::chrono::milliseconds(10);
-// The longest answer; the owner ends it before.
+// Exceeds the duration of any answer: the serving instance ends it earlier.
 constexpr Duration kReadTimeout = std::chrono::minutes(10);
 
-/// What has gone to a caller so far.
-struct Reading {
-  bool begun = false;
+/// Progress of one relayed answer towards its caller.
+struct ReadState {
+  bool stream_started = false;
 };
 
 }  // namespace
@@ -45,20 +45,21 @@
                        const std::string& id, std::uint32_t from,
                        const std::string& customer,
                        const std::shared_ptr<transport::Exchange>& exchange) {
-  const auto reading = std::make_shared<Reading>();
-  const auto on_part = [reading, exchange, id](const std::string& events) {
-    if (!reading->begun) BeginStream(*exchange, id);
-    reading->begun = true;
+  const auto state = std::make_shared<ReadState>();
+  const auto on_part = [state, exchange, id](const std::string& events) {
+    if (!state->stream_started) BeginStream(*exchange, id);
+    state->stream_started = true;
     exchange->Write(events);
   };
-  const auto on_end = [reading, exchange, id](const Result<void>& end) {
-    if (!reading->begun) {
+  const auto on_end = [state, exchange, id](const Result<void>& end) {
+    if (!state->stream_started) {
       Send(*exchange, UnknownAnswer(id, end ? "the answer has no more tokens"
                                             : end.error().message()));
       return;
     }
     if (!end) {
-      // A stream that broke on the way must not pass for a whole one (I2).
+      // Without an error event, a stream that broke on the way would look
+      // complete (I2).
       exchange->Write(transport::FormatEvent(
           BodyOf(UnknownAnswer(id, end.error().message()))));
     }
--- a/lib/daemon/answer_runner.cc
+++ b/lib/daemon/answer_runner.cc
@@ -59,39 +59,40 @@
 
 }  // namespace
 
-/// One answer under way.
+/// One answer, queued or running.
 struct AnswerRunner::ActiveAnswer {
   AnswerJob job;
   AnswerHandlers handlers;
   pipeline::AnswerStateMachine machine;
-  // Events wait here while the actions of an earlier one are carried out, so
-  // that an action which answers itself does not reenter the machine.
+  // Queues events while the actions of an earlier one are performed, so that an
+  // action that completes synchronously does not reenter the state machine.
   std::deque<pipeline::Event> events;
-  bool draining = false;
+  bool processing = false;
   bool closed = false;
   std::uint32_t stream_attempt = 0;
   transport::CallId stream = 0;
   transport::EventStreamParser parser;
   transport::TimerId timer = 0;
-  /// The plan that came with the answer's turn.
+  /// The plan made at admission, until the first RequestPlan uses it.
   std::optional<pipeline::Plan> first_plan;
   std::optional<pipeline::Plan> plan;
-  TimePoint began;
+  TimePoint start;
   std::optional<TimePoint> last_token;
 
   ActiveAnswer(AnswerJob new_job, AnswerHandlers new_handlers, TimePoint now)
       : job(std::move(new_job)),
         handlers(std::move(new_handlers)),
         machine(this->job.request),
-        began(now) {}
+        start(now) {}
 };
 
 AnswerRunner::AnswerRunner(transport::EventLoop& loop,
-                           transport::HttpClient& client, AnswerAdmission& gate,
-                           Metrics& metrics, timeline::Buffer& events)
+                           transport::HttpClient& client,
+                           AnswerAdmission& answer_admission, Metrics& metrics,
+                           timeline::Buffer& events)
     : loop(loop),
       client(client),
-      gate(gate),
+      answer_admission(answer_admission),
       metrics(metrics),
       events(events) {}
 
@@ -105,29 +106,31 @@
       std::make_shared<ActiveAnswer>(std::move(job), std::move(handlers), now);
   this->running.emplace(id, run);
   this->metrics.Count("toucanwharf_answers_total");
-  AdmissionHandlers turn;
-  turn.on_plan = [this, run](const pipeline::Plan& plan) {
+  AdmissionHandlers admission_handlers;
+  admission_handlers.on_plan = [this, run](const pipeline::Plan& plan) {
     this->Begin(run, plan);
   };
-  turn.on_refuse = [this, run](const admission::Refusal& refusal) {
+  admission_handlers.on_refuse = [this,
+                                  run](const admission::Refusal& refusal) {
     this->Refuse(run, refusal);
   };
-  this->gate.Offer(run->job.request, run->job.customer, std::move(turn));
+  this->answer_admission.Offer(run->job.request, run->job.customer,
+                               std::move(admission_handlers));
 }
 
 void AnswerRunner::Begin(const Run& run, const pipeline::Plan& plan) {
   run->first_plan = plan;
   run->plan = plan;
   const pipeline::Actions actions = run->machine.Start(this->loop.Now());
-  run->draining = true;
+  run->processing = true;
   this->PerformAll(run, actions);
-  run->draining = false;
-  this->Drain(run);
+  run->processing = false;
+  this->ProcessEvents(run);
 }
 
 void AnswerRunner::Refuse(const Run& run, const admission::Refusal& refusal) {
-  this->Note(timeline::EventKind::kAnswerFailed, run, "",
-             std::string(admission::RemedyOf(refusal.reason)));
+  this->RecordEvent(timeline::EventKind::kAnswerFailed, run, "",
+                    std::string(admission::RemedyOf(refusal.reason)));
   this->Close(run);
   run->handlers.on_refuse(refusal);
 }
@@ -136,35 +139,37 @@
   const auto found = this->running.find(id);
   if (found == this->running.end()) return;
   const Run run = found->second;
-  if (this->gate.Cancel(id)) {
+  if (this->answer_admission.Cancel(id)) {
     this->Refuse(run, {id, admission::RefusalReason::kDeadline, Duration(0)});
     return;
   }
-  this->Feed(run, pipeline::CallerDisconnected{});
+  this->Dispatch(run, pipeline::CallerDisconnected{});
 }
 
-void AnswerRunner::Feed(const Run& run, pipeline::Event event) {
+void AnswerRunner::Dispatch(const Run& run, pipeline::Event event) {
   run->events.push_back(std::move(event));
-  this->Drain(run);
+  this->ProcessEvents(run);
 }
 
-void AnswerRunner::Drain(const Run& run) {
-  if (run->draining) return;
-  run->draining = true;
+void AnswerRunner::ProcessEvents(const Run& run) {
+  if (run->processing) return;
+  run->processing = true;
   while (!run->events.empty()) {
     const pipeline::Event event = std::move(run->events.front());
     run->events.pop_front();
     const auto actions = run->machine.Handle(this->loop.Now(), event);
     this->PerformAll(run, actions);
   }
-  run->draining = false;
+  run->processing = false;
   if (run->machine.Done()) this->Close(run);
 }
 
 void AnswerRunner::PerformAll(const Run& run,
                               const pipeline::Actions& actions) {
   for (const pipeline::Action& action : actions) {
-    std::visit([&](const auto& wanted) { this->Perform(run, wanted); }, action);
+    std::visit(
+        [&](const auto& typed_action) { this->Perform(run, typed_action); },
+        action);
   }
 }
 
@@ -176,8 +181,9 @@
   this->running.erase(run->job.request.id);
 }
 
-void AnswerRunner::Note(timeline::EventKind kind, const Run& run,
-                        const std::string& endpoint, std::string reason) {
+void AnswerRunner::RecordEvent(timeline::EventKind kind, const Run& run,
+                               const std::string& endpoint,
+                               std::string reason) {
   timeline::EventDetails details;
   details.kind = kind;
   details.request = run->job.request.id;
@@ -201,7 +207,7 @@
     run->first_plan.reset();
     return;
   }
-  const auto plan = this->gate.Replan(query);
+  const auto plan = this->answer_admission.Replan(query);
   if (plan) {
     run->events.push_back(pipeline::PlanReady{action.attempt, plan.value()});
     return;
@@ -215,7 +221,7 @@
   run->parser = transport::EventStreamParser();
   run->stream_attempt = action.attempt;
   run->plan = action.plan;
-  this->gate.RecordPlan(run->job.request.id, action.plan);
+  this->answer_admission.RecordPlan(run->job.request.id, action.plan);
   HttpCall call;
   call.method = "POST";
   call.url = "http://" + action.plan.stages.front().address + "/v1/generate";
@@ -223,40 +229,40 @@
   call.body =
       GenerateBody(run->job.request, run->job.prompt, run->job.seed, action);
   call.connect_timeout = kConnectTimeout;
-  // The machine's own timer watches progress.
+  // The state machine's timer detects missing progress.
   call.total_timeout = Duration(0);
   if (action.fresh_connection) call.reuse = transport::Reuse::kNever;
-  this->Note(timeline::EventKind::kAttemptStarted, run,
-             action.plan.stages.front().endpoint, PlanText(action));
+  this->RecordEvent(timeline::EventKind::kAttemptStarted, run,
+                    action.plan.stages.front().endpoint, PlanText(action));
   const std::uint32_t attempt = action.attempt;
   transport::CallHandlers handlers;
   handlers.on_data = [this, run, attempt](std::string_view bytes) {
-    this->TakeData(run, attempt, bytes);
+    this->OnStreamData(run, attempt, bytes);
   };
   handlers.on_done = [this, run, attempt](const HttpOutcome& outcome) {
-    this->TakeEnd(run, attempt, outcome);
+    this->OnStreamEnd(run, attempt, outcome);
   };
   run->stream = this->client.Start(std::move(call), std::move(handlers));
 }
 
-void AnswerRunner::TakeData(const Run& run, std::uint32_t attempt,
-                            std::string_view bytes) {
+void AnswerRunner::OnStreamData(const Run& run, std::uint32_t attempt,
+                                std::string_view bytes) {
   if (run->closed || run->stream_attempt != attempt) return;
   for (const std::string& data : run->parser.Feed(bytes)) {
-    this->Feed(run, ParseEngineEvent(attempt, data));
+    this->Dispatch(run, ParseEngineEvent(attempt, data));
     if (run->closed || run->stream_attempt != attempt) return;
   }
 }
 
-void AnswerRunner::TakeEnd(const Run& run, std::uint32_t attempt,
-                           const HttpOutcome& outcome) {
+void AnswerRunner::OnStreamEnd(const Run& run, std::uint32_t attempt,
+                               const HttpOutcome& outcome) {
   if (run->closed || run->stream_attempt != attempt) return;
   run->stream = 0;
   if (IsRefusal(outcome) && run->plan) {
-    this->gate.RecordEndpointRefusal(run->job.request.id,
-                                     run->plan->stages.front().endpoint);
+    this->answer_admission.RecordEndpointRefusal(
+        run->job.request.id, run->plan->stages.front().endpoint);
   }
-  this->Feed(run, EndEvent(attempt, outcome));
+  this->Dispatch(run, EndEvent(attempt, outcome));
 }
 
 void AnswerRunner::Perform(const Run& run, const pipeline::EmitToken& action) {
@@ -265,7 +271,7 @@
     this->metrics.Observe("toucanwharf_token_gap_seconds",
                           now - *run->last_token);
   } else {
-    this->metrics.Observe("toucanwharf_first_token_seconds", now - run->began);
+    this->metrics.Observe("toucanwharf_first_token_seconds", now - run->start);
   }
   run->last_token = now;
   this->metrics.Count("toucanwharf_tokens_total");
@@ -304,7 +310,7 @@
       if (run->closed) return;
       const bool alive =
           outcome.end == CallEnd::kAnswered && outcome.status == kOk;
-      this->Feed(run, pipeline::ProbeCompleted{attempt, endpoint, alive});
+      this->Dispatch(run, pipeline::ProbeCompleted{attempt, endpoint, alive});
     };
     this->client.Start(std::move(call), {nullptr, on_done});
   }
@@ -312,32 +318,34 @@
 
 void AnswerRunner::Perform(const Run& run,
                            const pipeline::SuspectConnection& action) {
-  this->Note(timeline::EventKind::kConnectionSuspected, run, action.endpoint,
-             "silent while a fresh connection works");
+  this->RecordEvent(timeline::EventKind::kConnectionSuspected, run,
+                    action.endpoint, "silent while a fresh connection works");
   this->metrics.Count("toucanwharf_suspect_connections_total");
 }
 
 void AnswerRunner::Perform(const Run& run,
                            const pipeline::SuspectEndpoint& action) {
-  this->Note(timeline::EventKind::kStageLost, run, action.endpoint,
-             "a fresh connection failed too, or its neighbour lost it");
+  this->RecordEvent(timeline::EventKind::kStageLost, run, action.endpoint,
+                    "a fresh connection failed too, or its neighbour lost it");
   this->metrics.Count("toucanwharf_suspect_endpoints_total");
-  this->gate.RecordEndpointFailure(run->job.request.id, action.endpoint);
+  this->answer_admission.RecordEndpointFailure(run->job.request.id,
+                                               action.endpoint);
 }
 
 void AnswerRunner::Perform(const Run& run, const pipeline::ArmTimer& action) {
   this->loop.CancelTimer(run->timer);
   const Duration wait = std::max(action.at - this->loop.Now(), Duration(0));
   run->timer = this->loop.After(
-      wait, [this, run] { this->Feed(run, pipeline::TimerFired{}); });
+      wait, [this, run] { this->Dispatch(run, pipeline::TimerFired{}); });
 }
 
 void AnswerRunner::Perform(const Run& run,
                            const pipeline::RecordRecovery& action) {
-  this->Note(timeline::EventKind::kAnswerResumed, run, "",
-             absl::StrCat("noticed in ", action.detection.count(),
-                          " us, replanned in ", action.replanning.count(),
-                          " us, resumed in ", action.resuming.count(), " us"));
+  this->RecordEvent(
+      timeline::EventKind::kAnswerResumed, run, "",
+      absl::StrCat("noticed in ", action.detection.count(),
+                   " us, replanned in ", action.replanning.count(),
+                   " us, resumed in ", action.resuming.count(), " us"));
   this->metrics.Count("toucanwharf_recoveries_total");
   this->metrics.Observe("toucanwharf_recovery_noticing_seconds",
                         action.detection);
@@ -349,21 +357,21 @@
 
 void AnswerRunner::Perform(const Run& run, const pipeline::Finish& action) {
   this->metrics.Count("toucanwharf_answers_finished_total");
-  this->Note(timeline::EventKind::kAnswerFinished, run, "",
-             absl::StrCat(action.tokens, " tokens"));
+  this->RecordEvent(timeline::EventKind::kAnswerFinished, run, "",
+                    absl::StrCat(action.tokens, " tokens"));
   this->Close(run);
   run->handlers.on_finish(action);
-  this->gate.RecordEnd(run->job.request.id, true, action.tokens);
+  this->answer_admission.RecordEnd(run->job.request.id, true, action.tokens);
 }
 
 void AnswerRunner::Perform(const Run& run, const pipeline::Fail& action) {
   this->metrics.Count("toucanwharf_answers_failed_total");
-  this->Note(timeline::EventKind::kAnswerFailed, run, "",
-             action.error.message());
+  this->RecordEvent(timeline::EventKind::kAnswerFailed, run, "",
+                    action.error.message());
   this->Close(run);
   run->handlers.on_fail(action);
   const auto emitted = static_cast<std::uint32_t>(run->machine.Tokens().size());
-  this->gate.RecordEnd(run->job.request.id, false, emitted);
+  this->answer_admission.RecordEnd(run->job.request.id, false, emitted);
 }
 
 }  // namespace toucanwharf::daemon
--- a/lib/daemon/answer_sessions.cc
+++ b/lib/daemon/answer_sessions.cc
@@ -14,10 +14,10 @@
 constexpr int kOk = 200;
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-// A caller that left shows at most this much later.
-constexpr Duration kLookPeriod = std::chrono::milliseconds(250);
-// Time for a caller whose connection broke to come back by another entry
-// instance: a connection attempt, a timed-out one and a second attempt.
+// Bounds the delay until a disconnected caller is detected.
+constexpr Duration kReaderCheckPeriod = std::chrono::milliseconds(250);
+// Time for a disconnected caller to resume through another entry instance: a
+// connection attempt, its timeout and a second attempt.
 constexpr Duration kResumeGrace = std::chrono::seconds(5);
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 constexpr const char* kDone = "[DONE]";
@@ -40,10 +40,11 @@
 
 Refusal RefusalOf(const admission::Refusal& refused) {
   const bool backlog = refused.reason == admission::RefusalReason::kBacklog;
-  const bool none = refused.reason == admission::RefusalReason::kNoEndpoint;
+  const bool no_endpoint =
+      refused.reason == admission::RefusalReason::kNoEndpoint;
   Refusal refusal;
   refusal.status = backlog ? kTooManyRequests : kUnavailable;
-  refusal.code = none ? "no_cover" : "busy";
+  refusal.code = no_endpoint ? "no_cover" : "busy";
   refusal.message = std::string(admission::RemedyOf(refused.reason));
   refusal.retry_after = refused.retry_after;
   refusal.request_id = refused.id;
@@ -56,7 +57,7 @@
          transport::FormatEvent(kDone);
 }
 
-/// The events that end an answer which is read after its end.
+/// Returns the final events of an answer that is read after its end.
 std::string EndEvents(const std::string& id, const CompletionNaming& naming,
                       const pipeline::AnswerLog::End& end) {
   const auto* fail = std::get_if<pipeline::Fail>(&end);
@@ -68,14 +69,14 @@
 
 }  // namespace
 
-/// One answer and whoever reads it.
+/// One answer and the exchanges that read it.
 struct AnswerSessions::Session {
   SessionRequest request;
   std::vector<std::shared_ptr<Exchange>> readers;
   std::vector<std::string> tokens;
-  // Only a stream: whether its status line was sent, which a failure before
-  // the first token can then no longer use.
-  bool begun = false;
+  // Streams only: whether the status line was sent. A failure before that is
+  // sent as a plain response instead of an event.
+  bool stream_started = false;
   std::optional<TimePoint> unread_since;
 };
 
@@ -83,7 +84,7 @@
                                Metrics& metrics)
     : loop(loop), runner(runner), metrics(metrics) {}
 
-void AnswerSessions::Start() { this->LookForLeftCallers(); }
+void AnswerSessions::Start() { this->CheckReaders(); }
 
 void AnswerSessions::Open(SessionRequest request,
                           std::shared_ptr<Exchange> exchange) {
@@ -95,30 +96,30 @@
   this->log.Open(id, session->request.customer);
   AnswerHandlers handlers;
   handlers.on_token = [this, session](const pipeline::EmitToken& token) {
-    this->TakeToken(session, token);
+    this->OnToken(session, token);
   };
   handlers.on_finish = [this, session](const pipeline::Finish& finish) {
-    this->TakeFinish(session, finish);
+    this->OnFinish(session, finish);
   };
   handlers.on_fail = [this, session](const pipeline::Fail& fail) {
-    this->TakeFail(session, fail);
+    this->OnFail(session, fail);
   };
   handlers.on_refuse = [this, session](const admission::Refusal& refused) {
-    this->TakeRefusal(session, refused);
+    this->OnRefusal(session, refused);
   };
   AnswerJob job = session->request.job;
   job.customer = session->request.customer;
   this->runner.Start(std::move(job), std::move(handlers));
 }
 
-void AnswerSessions::TakeToken(const Shared& session,
-                               const pipeline::EmitToken& token) {
+void AnswerSessions::OnToken(const SharedSession& session,
+                             const pipeline::EmitToken& token) {
   const std::string& id = session->request.job.request.id;
   this->log.Append(id, token);
   session->tokens.push_back(token.text);
   if (!session->request.stream) return;
-  if (!session->begun) {
-    session->begun = true;
+  if (!session->stream_started) {
+    session->stream_started = true;
     for (const auto& reader : session->readers) BeginStream(*reader, id);
   }
   const std::string event = transport::FormatEvent(
@@ -126,8 +127,8 @@
   for (const auto& reader : session->readers) reader->Write(event);
 }
 
-void AnswerSessions::TakeFinish(const Shared& session,
-                                const pipeline::Finish& finish) {
+void AnswerSessions::OnFinish(const SharedSession& session,
+                              const pipeline::Finish& finish) {
   const SessionRequest& request = session->request;
   const std::string& id = request.job.request.id;
   this->log.Close(id, finish, this->loop.Now());
@@ -140,22 +141,22 @@
                {{"X-Request-Id", id}});
       continue;
     }
-    if (!session->begun) BeginStream(*reader, id);
+    if (!session->stream_started) BeginStream(*reader, id);
     reader->Write(FinishEvents(request.naming, reason));
     reader->End();
   }
-  this->Forget(session);
+  this->RemoveSession(session);
 }
 
-void AnswerSessions::TakeFail(const Shared& session,
-                              const pipeline::Fail& fail) {
+void AnswerSessions::OnFail(const SharedSession& session,
+                            const pipeline::Fail& fail) {
   const std::string& id = session->request.job.request.id;
   this->log.Close(id, fail, this->loop.Now());
   this->SendRefusal(session, RefusalOf(id, fail));
 }
 
-void AnswerSessions::TakeRefusal(const Shared& session,
-                                 const admission::Refusal& refused) {
+void AnswerSessions::OnRefusal(const SharedSession& session,
+                               const admission::Refusal& refused) {
   const std::string& id = session->request.job.request.id;
   const auto error =
       std::make_error_code(std::errc::resource_unavailable_try_again);
@@ -164,26 +165,26 @@
   this->SendRefusal(session, RefusalOf(refused));
 }
 
-void AnswerSessions::SendRefusal(const Shared& session,
+void AnswerSessions::SendRefusal(const SharedSession& session,
                                  const Refusal& refusal) {
   for (const auto& reader : session->readers) {
-    if (!session->request.stream || !session->begun) {
+    if (!session->request.stream || !session->stream_started) {
       Send(*reader, refusal);
       continue;
     }
-    // A broken stream says that it broke; ending it silently would pass for a
-    // whole, shorter answer (I2).
+    // Ending the stream without an error event would make it look like a
+    // complete, shorter answer (I2).
     reader->Write(transport::FormatEvent(BodyOf(refusal)));
     reader->End();
   }
   this->metrics.Count("toucanwharf_refusals_total{code=\"" + refusal.code +
                       "\"}");
-  this->Forget(session);
+  this->RemoveSession(session);
 }
 
-void AnswerSessions::Forget(const Shared& session) {
+void AnswerSessions::RemoveSession(const SharedSession& session) {
   const std::string& id = session->request.job.request.id;
-  this->ended[id] = session->request.naming;
+  this->ended_namings[id] = session->request.naming;
   this->sessions.erase(id);
 }
 
@@ -197,7 +198,7 @@
     live->second->unread_since = this->loop.Now();
   }
   const CompletionNaming& naming =
-      running ? live->second->request.naming : this->ended[id];
+      running ? live->second->request.naming : this->ended_namings[id];
   AnswerTail tail;
   tail.next = slice.first_index;
   for (const std::string& text : slice.tokens) {
@@ -224,34 +225,34 @@
     exchange->End();
     return;
   }
-  const Shared& session = this->sessions.at(id);
-  session->begun = true;
+  const SharedSession& session = this->sessions.at(id);
+  session->stream_started = true;
   session->unread_since.reset();
   session->readers.push_back(std::move(exchange));
 }
 
-void AnswerSessions::LookForLeftCallers() {
+void AnswerSessions::CheckReaders() {
   const TimePoint now = this->loop.Now();
-  std::vector<std::string> given_up;
+  std::vector<std::string> abandoned;
   for (const auto& [id, session] : this->sessions) {
-    this->DropLeft(*session, now);
+    this->DropDisconnectedReaders(*session, now);
     const auto unread = session->unread_since;
     if (!unread) continue;
     const Duration grace = session->request.stream ? kResumeGrace : Duration(0);
-    if (now - *unread >= grace) given_up.push_back(id);
+    if (now - *unread >= grace) abandoned.push_back(id);
   }
-  for (const std::string& id : given_up) {
+  for (const std::string& id : abandoned) {
     this->metrics.Count("toucanwharf_answers_abandoned_total");
     this->runner.Abandon(id);
   }
   this->log.Expire(now);
-  std::erase_if(this->ended, [this](const auto& entry) {
+  std::erase_if(this->ended_namings, [this](const auto& entry) {
     return !this->log.Contains(entry.first);
   });
-  this->loop.After(kLookPeriod, [this] { this->LookForLeftCallers(); });
+  this->loop.After(kReaderCheckPeriod, [this] { this->CheckReaders(); });
 }
 
-void AnswerSessions::DropLeft(Session& session, TimePoint now) {
+void AnswerSessions::DropDisconnectedReaders(Session& session, TimePoint now) {
   std::erase_if(session.readers,
                 [](const auto& reader) { return reader->CallerLeft(); });
   if (!session.readers.empty() || session.unread_since) return;
--- a/lib/daemon/caller_api.cc
+++ b/lib/daemon/caller_api.cc
@@ -27,7 +27,7 @@
 constexpr int kUnavailable = 503;
 constexpr Duration kRetryAfter = std::chrono::seconds(1);
 constexpr std::uint64_t kMillisPerSecond = 1000;
-constexpr std::size_t kLongestKey = 128;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 128;
 constexpr const char* kServicesPrefix = "/v1/services/";
 constexpr const char* kRequestsPrefix = "/v1/requests/";
 
@@ -36,20 +36,21 @@
   return found == request.headers.end() ? "" : found->second;
 }
 
-bool IsPlain(char byte) {
-  constexpr std::string_view kPlain = "-._~/!$&'()*+,;=:@";
+bool IsUnescapedPathByte(char byte) {
+  constexpr std::string_view kUnescapedPunctuation = "-._~/!$&'()*+,;=:@";
   const bool alphanumeric = (byte >= 'a' && byte <= 'z') ||
                             (byte >= 'A' && byte <= 'Z') ||
                             (byte >= '0' && byte <= '9');
-  return alphanumeric || kPlain.find(byte) != std::string_view::npos;
+  return alphanumeric ||
+         kUnescapedPunctuation.find(byte) != std::string_view::npos;
 }
 
-/// Escapes a path that libmicrohttpd decoded, so that no byte of it can end
-/// the request line that goes to the service.
+/// Escapes a path that libmicrohttpd decoded, so that no byte of it can
+/// terminate the request line sent to the service.
 std::string Escape(std::string_view text) {
   std::string escaped;
   for (const char byte : text) {
-    if (IsPlain(byte)) {
+    if (IsUnescapedPathByte(byte)) {
       escaped.push_back(byte);
     } else {
       absl::StrAppendFormat(&escaped, "%%%02X",
@@ -59,9 +60,9 @@
   return escaped;
 }
 
-/// Returns whether \p path has a segment "." or "..". What such a path means is
-/// decided by whoever folds it last: a call that the record lets repeat would
-/// become another one on its way, and run twice (I4).
+/// Returns whether \p path has a segment "." or "..". Whoever normalizes such a
+/// path last decides its meaning: a call that the record marks idempotent could
+/// reach the service as a different, non-idempotent call and run twice (I4).
 bool HasDotSegment(std::string_view path) {
   for (const absl::string_view segment :
        absl::StrSplit(absl::string_view(path.data(), path.size()), '/')) {
@@ -106,20 +107,20 @@
                      const settings::Settings& settings,
                      const platform::ConfigService& config,
                      AnswerSessions& sessions, ServiceRunner& services,
-                     EntryAdviceProvider& entries, Metrics& metrics)
+                     EntryAdviceProvider& entry_advice, Metrics& metrics)
     : loop(loop),
       settings(settings),
       config(config),
       sessions(sessions),
       services(services),
-      entries(entries),
+      entry_advice(entry_advice),
       metrics(metrics) {}
 
 bool CallerApi::Ready() const { return this->config.Catalog().generation > 0; }
 
 void CallerApi::Serve(const SharedExchange& exchange) {
   const transport::HttpRequest& request = exchange->Request();
-  if (this->ServeOpen(exchange)) return;
+  if (this->ServeUnauthenticated(exchange)) return;
   if (!this->Ready()) {
     Refusal refusal = MakeRefusal(
         kUnavailable, "not_ready",
@@ -137,7 +138,7 @@
     return;
   }
   if (request.path == "/v1/entries" && request.method == "GET") {
-    SendJson(*exchange, this->entries.Advice(customer->name));
+    SendJson(*exchange, this->entry_advice.Advice(customer->name));
   } else if (request.path == "/v1/models" && request.method == "GET") {
     this->ServeModels(exchange);
   } else if (request.path == "/v1/chat/completions" &&
@@ -157,7 +158,7 @@
   }
 }
 
-bool CallerApi::ServeOpen(const SharedExchange& exchange) {
+bool CallerApi::ServeUnauthenticated(const SharedExchange& exchange) {
   const transport::HttpRequest& request = exchange->Request();
   if (request.method != "GET") return false;
   if (request.path == "/healthz") {
@@ -184,8 +185,8 @@
   const std::string header = HeaderOf(request, "authorization");
   absl::string_view key = header;
   if (!absl::ConsumePrefix(&key, "Bearer ")) return std::nullopt;
-  // Only hashes are kept and compared, so that how long a comparison takes
-  // tells nothing about a key.
+  // Only hashes are stored and compared, so that the time of a comparison
+  // reveals nothing about a key.
   const std::string hash = Sha256Hex(std::string_view(key.data(), key.size()));
   for (const auto& [name, customer] : this->config.Catalog().customers) {
     if (customer.key_sha256 == hash) return customer;
@@ -201,9 +202,9 @@
     this->Refuse(exchange, parsed.error());
     return;
   }
-  const CompletionRequest& wanted = parsed.value();
+  const CompletionRequest& completion = parsed.value();
   const records::Catalog& catalog = this->config.Catalog();
-  const auto pipeline = catalog.pipelines.find(wanted.model);
+  const auto pipeline = catalog.pipelines.find(completion.model);
   if (pipeline == catalog.pipelines.end()) {
     this->Refuse(exchange, MakeRefusal(kNotFound, "model_not_found",
                                        "no such model; see GET /v1/models"));
@@ -218,19 +219,20 @@
   }
   SessionRequest session;
   session.customer = customer.name;
-  session.stream = wanted.stream;
-  session.naming = {shape, NewIdOf(this->settings.instance), wanted.model,
+  session.stream = completion.stream;
+  session.naming = {shape, NewIdOf(this->settings.instance), completion.model,
                     WallMillis() / kMillisPerSecond};
-  session.job.prompt = wanted.prompt;
+  session.job.prompt = completion.prompt;
   session.job.seed =
-      wanted.has_seed ? wanted.seed : HashText(session.naming.id);
+      completion.has_seed ? completion.seed : HashText(session.naming.id);
   pipeline::AnswerRequest& request = session.job.request;
   request.id = session.naming.id;
   request.model = {pipeline->second.model, pipeline->second.version,
                    pipeline->second.adapter};
   request.layers = model->second.layers;
-  request.prompt_tokens = EstimateTokens(wanted.prompt);
-  request.max_tokens = std::min(wanted.max_tokens, pipeline->second.max_tokens);
+  request.prompt_tokens = EstimateTokens(completion.prompt);
+  request.max_tokens =
+      std::min(completion.max_tokens, pipeline->second.max_tokens);
   request.deadline = this->loop.Now() + this->settings.timeouts.answer;
   this->sessions.Open(std::move(session), exchange);
 }
@@ -244,9 +246,10 @@
   const std::string name = rest.substr(0, slash);
   const std::string path =
       slash == std::string::npos ? "/" : rest.substr(slash);
-  const bool passed_on = request.method == "GET" || request.method == "POST" ||
-                         request.method == "PUT";
-  if (!passed_on) {
+  const bool method_allowed = request.method == "GET" ||
+                              request.method == "POST" ||
+                              request.method == "PUT";
+  if (!method_allowed) {
     this->Refuse(exchange,
                  MakeRefusal(kMethodNotAllowed, "method_not_allowed",
                              "services take GET, POST and PUT; use one"));
@@ -258,9 +261,9 @@
                                        "the path that is meant"));
     return;
   }
-  const auto& all = this->config.Catalog().services;
-  const auto service = all.find(name);
-  if (service == all.end()) {
+  const auto& services = this->config.Catalog().services;
+  const auto service = services.find(name);
+  if (service == services.end()) {
     this->Refuse(exchange, MakeRefusal(kNotFound, "service_not_found",
                                        "no such service; check its name"));
     return;
@@ -275,7 +278,7 @@
   job.idempotency_key = HeaderOf(request, "idempotency-key");
   job.idempotent = IsIdempotent(service->second, request.method, path);
   job.body = request.body;
-  const bool bad_key = job.idempotency_key.size() > kLongestKey ||
+  const bool bad_key = job.idempotency_key.size() > kMaxIdempotencyKeyBytes ||
                        !IsSafeHeaderValue(job.idempotency_key) ||
                        !IsSafeHeaderValue(job.content_type);
   if (bad_key) {
@@ -318,10 +321,10 @@
                                        "tokens that you have"));
     return;
   }
-  const bool elsewhere =
+  const bool resumed_elsewhere =
       !this->sessions.Contains(id) && this->resume_elsewhere &&
       this->resume_elsewhere(id, from, customer.name, exchange);
-  if (elsewhere) {
+  if (resumed_elsewhere) {
     this->metrics.Count("toucanwharf_answers_resumed_elsewhere_total");
     return;
   }
--- a/lib/daemon/directory.cc
+++ b/lib/daemon/directory.cc
@@ -14,23 +14,24 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kListPeriod = std::chrono::seconds(1);
-// Loads change with every batch, status only by orders and deaths; asking for
-// the status every fourth time still notices a leaving engine within 2 s (I5).
-constexpr Duration kLoadPeriod = std::chrono::milliseconds(500);
-constexpr std::uint64_t kStatusEvery = 4;
-constexpr Duration kAskTimeout = std::chrono::seconds(2);
+constexpr Duration kInstancesPollPeriod = std::chrono::seconds(1);
+// Loads change with every batch, the status only with orders and failures.
+// Requesting the status in every fourth poll still detects a leaving engine
+// within 2 s (I5).
+constexpr Duration kEnginePollPeriod = std::chrono::milliseconds(500);
+constexpr std::uint64_t kPollsPerStatus = 4;
+constexpr Duration kPollTimeout = std::chrono::seconds(2);
 constexpr int kOk = 200;
-constexpr double kLargestFigure = 1e15;
+constexpr double kMaxNumber = 1e15;
 constexpr double kMicrosPerSecond = 1e6;
 
-/// A figure of an engine's report, whole or not. What no engine can mean is
-/// cut, since a conversion out of range is undefined.
-std::uint64_t FigureOf(const Json& object, const char* name) {
+/// Reads a number, whole or not, of an engine's report. Clamps implausible
+/// values, since an out-of-range conversion is undefined.
+std::uint64_t NumberOf(const Json& object, const char* name) {
   const auto found = object.find(name);
   if (found == object.end() || !found->is_number()) return 0;
   const double value = found->get<double>();
-  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kLargestFigure));
+  return static_cast<std::uint64_t>(std::clamp(value, 0.0, kMaxNumber));
 }
 
 std::optional<Role> RoleOf(const std::string& name) {
@@ -57,7 +58,7 @@
   return instance;
 }
 
-Json ParseLoose(std::string_view body) {
+Json ParseJson(std::string_view body) {
   return Json::parse(body, nullptr, /*allow_exceptions=*/false);
 }
 
@@ -65,7 +66,7 @@
 
 std::vector<Instance> ParseInstances(std::string_view body) {
   std::vector<Instance> instances;
-  const Json parsed = ParseLoose(body);
+  const Json parsed = ParseJson(body);
   if (!parsed.is_object()) return instances;
   const auto lines = parsed.find("instances");
   if (lines == parsed.end() || !lines->is_array()) return instances;
@@ -77,15 +78,15 @@
 }
 
 bool ParseEngineStatus(std::string_view body, pipeline::EndpointView& view) {
-  const Json parsed = ParseLoose(body);
+  const Json parsed = ParseJson(body);
   if (!parsed.is_object()) return false;
   const auto layers = parsed.find("layers");
   if (layers == parsed.end() || !layers->is_object()) return false;
   view.model = TextMember(parsed, "model");
   view.version = TextMember(parsed, "version");
-  view.layers.begin = static_cast<std::uint32_t>(FigureOf(*layers, "begin"));
-  view.layers.end = static_cast<std::uint32_t>(FigureOf(*layers, "end"));
-  view.layer_time = Duration(FigureOf(parsed, "layer_micros"));
+  view.layers.begin = static_cast<std::uint32_t>(NumberOf(*layers, "begin"));
+  view.layers.end = static_cast<std::uint32_t>(NumberOf(*layers, "end"));
+  view.layer_time = Duration(NumberOf(parsed, "layer_micros"));
   view.state = TextMember(parsed, "state") == "leaving"
                    ? pipeline::EndpointState::kLeaving
                    : pipeline::EndpointState::kLive;
@@ -102,11 +103,11 @@
 }
 
 bool ParseEngineLoad(std::string_view body, pipeline::EndpointView& view) {
-  const Json parsed = ParseLoose(body);
+  const Json parsed = ParseJson(body);
   if (!parsed.is_object()) return false;
-  const double queued = static_cast<double>(FigureOf(parsed, "queued_tokens"));
+  const double queued = static_cast<double>(NumberOf(parsed, "queued_tokens"));
   const double speed =
-      static_cast<double>(FigureOf(parsed, "tokens_per_second"));
+      static_cast<double>(NumberOf(parsed, "tokens_per_second"));
   if (speed <= 0) return false;
   view.expected_wait =
       Duration(static_cast<std::int64_t>(queued / speed * kMicrosPerSecond));
@@ -114,34 +115,34 @@
 }
 
 std::uint32_t ParseEngineSlots(std::string_view body) {
-  const Json parsed = ParseLoose(body);
+  const Json parsed = ParseJson(body);
   if (!parsed.is_object()) return 1;
-  const std::uint64_t slots = FigureOf(parsed, "slots");
+  const std::uint64_t slots = NumberOf(parsed, "slots");
   return std::max(static_cast<std::uint32_t>(slots), 1U);
 }
 
 EngineLoad ParseLoadReport(std::string_view body) {
   EngineLoad load;
-  const Json parsed = ParseLoose(body);
+  const Json parsed = ParseJson(body);
   if (!parsed.is_object()) return load;
-  load.running = static_cast<std::uint32_t>(FigureOf(parsed, "running"));
-  load.queued_tokens = static_cast<double>(FigureOf(parsed, "queued_tokens"));
-  load.kv_tokens_free = static_cast<double>(FigureOf(parsed, "kv_tokens_free"));
-  load.age = std::chrono::milliseconds(FigureOf(parsed, "as_of_ms_ago"));
+  load.running = static_cast<std::uint32_t>(NumberOf(parsed, "running"));
+  load.queued_tokens = static_cast<double>(NumberOf(parsed, "queued_tokens"));
+  load.kv_tokens_free = static_cast<double>(NumberOf(parsed, "kv_tokens_free"));
+  load.age = std::chrono::milliseconds(NumberOf(parsed, "as_of_ms_ago"));
   return load;
 }
 
 Directory::Directory(transport::EventLoop& loop, transport::HttpClient& client,
                      Metrics& metrics, std::string platform_address,
-                     const std::string& own_domain)
+                     const std::string& local_domain)
     : loop(loop),
       client(client),
       metrics(metrics),
       platform_address(std::move(platform_address)),
-      engines(own_domain, pipeline::LinkCosts{}) {}
+      engines(local_domain, pipeline::LinkCosts{}) {}
 
 void Directory::Start() {
-  this->AskForList();
+  this->FetchInstances();
   this->PollEngines();
 }
 
@@ -163,73 +164,73 @@
   return found;
 }
 
-void Directory::AskForList() {
+void Directory::FetchInstances() {
   transport::HttpCall call;
   call.url = "http://" + this->platform_address + "/instances";
-  call.total_timeout = kAskTimeout;
+  call.total_timeout = kPollTimeout;
   this->metrics.Count("toucanwharf_platform_calls_total{call=\"instances\"}");
   const auto on_done = [this](const transport::HttpOutcome& outcome) {
     if (outcome.end == transport::CallEnd::kAnswered && outcome.status == kOk) {
-      this->TakeList(outcome.body);
+      this->ApplyInstances(outcome.body);
     } else {
-      // The list last read stays in force: during an outage of the platform
-      // the endpoints are still there (I2).
+      // The last list stays in use: during an outage of the platform the
+      // endpoints still run (I2).
       this->metrics.Count(
           "toucanwharf_platform_errors_total{call=\"instances\"}");
     }
-    this->loop.After(kListPeriod, [this] { this->AskForList(); });
+    this->loop.After(kInstancesPollPeriod, [this] { this->FetchInstances(); });
   };
   this->client.Start(std::move(call), {nullptr, on_done});
 }
 
-void Directory::TakeList(std::string_view body) {
+void Directory::ApplyInstances(std::string_view body) {
   std::map<std::string, Instance> listed;
   for (Instance& instance : ParseInstances(body)) {
     listed.emplace(instance.id, std::move(instance));
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [id, instance] : this->instances) {
-    if (!listed.contains(id)) gone.push_back(id);
+    if (!listed.contains(id)) removed.push_back(id);
   }
-  for (const std::string& id : gone) this->Forget(id);
+  for (const std::string& id : removed) this->RemoveInstance(id);
   this->instances = std::move(listed);
   for (const auto& [id, instance] : this->instances) {
     if (instance.role != Role::kEngine) continue;
     const auto known = this->views.find(id);
     if (known == this->views.end()) {
-      this->AskEngine(id, /*with_status=*/true);
+      this->PollEngine(id, /*with_status=*/true);
       continue;
     }
     if (instance.leaving &&
         known->second.state == pipeline::EndpointState::kLive) {
       known->second.state = pipeline::EndpointState::kLeaving;
       this->engines.Update(known->second);
-      if (this->watchers.on_gone) this->watchers.on_gone(id);
+      if (this->observers.on_removed) this->observers.on_removed(id);
     }
   }
 }
 
-void Directory::Forget(const std::string& id) {
+void Directory::RemoveInstance(const std::string& id) {
   this->instances.erase(id);
   this->views.erase(id);
   this->engines.Remove(id);
-  if (this->watchers.on_gone) this->watchers.on_gone(id);
+  if (this->observers.on_removed) this->observers.on_removed(id);
 }
 
 void Directory::PollEngines() {
   ++this->polls;
-  const bool with_status = this->polls % kStatusEvery == 0;
-  for (const auto& [id, view] : this->views) this->AskEngine(id, with_status);
-  this->loop.After(kLoadPeriod, [this] { this->PollEngines(); });
+  const bool with_status = this->polls % kPollsPerStatus == 0;
+  for (const auto& [id, view] : this->views) this->PollEngine(id, with_status);
+  this->loop.After(kEnginePollPeriod, [this] { this->PollEngines(); });
 }
 
-void Directory::AskEngine(const std::string& id, bool with_status) {
+void Directory::PollEngine(const std::string& id, bool with_status) {
   const auto instance = this->instances.find(id);
   if (instance == this->instances.end()) return;
   transport::HttpCall call;
   call.url = "http://" + instance->second.address +
              (with_status ? "/v1/status" : "/v1/load");
-  call.total_timeout = kAskTimeout;
+  call.total_timeout = kPollTimeout;
   const auto on_done = [this, id,
                         with_status](const transport::HttpOutcome& outcome) {
     if (outcome.end != transport::CallEnd::kAnswered) {
@@ -238,16 +239,16 @@
     }
     if (outcome.status != kOk) return;
     if (with_status) {
-      this->TakeStatus(id, outcome);
+      this->ApplyStatus(id, outcome);
     } else {
-      this->TakeLoad(id, outcome);
+      this->ApplyLoad(id, outcome);
     }
   };
   this->client.Start(std::move(call), {nullptr, on_done});
 }
 
-void Directory::TakeStatus(const std::string& id,
-                           const transport::HttpOutcome& outcome) {
+void Directory::ApplyStatus(const std::string& id,
+                            const transport::HttpOutcome& outcome) {
   const auto instance = this->instances.find(id);
   if (instance == this->instances.end()) return;
   pipeline::EndpointView view;
@@ -260,19 +261,19 @@
   if (instance->second.leaving) view.state = pipeline::EndpointState::kLeaving;
   this->views[id] = view;
   this->engines.Update(view);
-  if (this->watchers.on_status) {
-    this->watchers.on_status(view, ParseEngineSlots(outcome.body));
+  if (this->observers.on_status) {
+    this->observers.on_status(view, ParseEngineSlots(outcome.body));
   }
 }
 
-void Directory::TakeLoad(const std::string& id,
-                         const transport::HttpOutcome& outcome) {
+void Directory::ApplyLoad(const std::string& id,
+                          const transport::HttpOutcome& outcome) {
   const auto known = this->views.find(id);
   if (known == this->views.end()) return;
   if (!ParseEngineLoad(outcome.body, known->second)) return;
   this->engines.Update(known->second);
-  if (this->watchers.on_load) {
-    this->watchers.on_load(id, ParseLoadReport(outcome.body));
+  if (this->observers.on_load) {
+    this->observers.on_load(id, ParseLoadReport(outcome.body));
   }
 }
 
--- a/lib/daemon/engine_protocol.cc
+++ b/lib/daemon/engine_protocol.cc
@@ -9,25 +9,25 @@
 
 using Json = nlohmann::json;
 
-constexpr std::uint64_t kLargestIndex = UINT32_MAX;
+constexpr std::uint64_t kMaxIndex = UINT32_MAX;
 
-std::optional<std::uint32_t> Count(const Json& value) {
+std::optional<std::uint32_t> ParseCount(const Json& value) {
   if (!value.is_number_unsigned()) return std::nullopt;
   const auto count = value.get<std::uint64_t>();
-  if (count > kLargestIndex) return std::nullopt;
+  if (count > kMaxIndex) return std::nullopt;
   return static_cast<std::uint32_t>(count);
 }
 
 std::optional<std::uint32_t> CountOf(const Json& object, const char* name) {
   const auto found = object.find(name);
   if (found == object.end()) return std::nullopt;
-  return Count(*found);
+  return ParseCount(*found);
 }
 
 std::optional<pipeline::LayerRange> RangeOf(const Json& pair) {
   if (!pair.is_array() || pair.size() != 2) return std::nullopt;
-  const auto begin = Count(pair[0]);
-  const auto end = Count(pair[1]);
+  const auto begin = ParseCount(pair[0]);
+  const auto end = ParseCount(pair[1]);
   if (!begin || !end || *begin > *end) return std::nullopt;
   return pipeline::LayerRange{*begin, *end};
 }
--- a/lib/daemon/entry_advice_provider.cc
+++ b/lib/daemon/entry_advice_provider.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-routing::AdviceSettings AdviceOf(const settings::Settings& settings) {
+routing::AdviceSettings AdviceSettingsOf(const settings::Settings& settings) {
   routing::AdviceSettings advice;
   advice.time_to_live = settings.timeouts.entries_ttl;
   return advice;
@@ -27,7 +27,7 @@
                                          std::uint64_t seed)
     : directory(directory),
       settings(settings),
-      advisor(AdviceOf(settings)),
+      advisor(AdviceSettingsOf(settings)),
       random(seed) {}
 
 std::string EntryAdviceProvider::Advice(const std::string& customer) {
@@ -40,38 +40,38 @@
   for (const auto& instance : instances) {
     by_address[instance.address] = &instance;
   }
-  Json lines = Json::array();
+  Json entries = Json::array();
   for (const std::string& address : advice.addresses) {
     const routing::EntryInstance& instance = *by_address.at(address);
-    lines.push_back({{"instance", instance.id},
-                     {"address", address},
-                     {"failure_domain", instance.failure_domain}});
+    entries.push_back({{"instance", instance.id},
+                       {"address", address},
+                       {"failure_domain", instance.failure_domain}});
   }
   const auto ttl =
       std::chrono::floor<std::chrono::seconds>(advice.time_to_live);
   const auto ttl_s = std::max<std::int64_t>(ttl.count(), 1);
-  return Json({{"entries", lines}, {"ttl_s", ttl_s}}).dump() + "\n";
+  return Json({{"entries", entries}, {"ttl_s", ttl_s}}).dump() + "\n";
 }
 
 std::vector<routing::EntryInstance> EntryAdviceProvider::Instances() const {
   std::vector<routing::EntryInstance> instances;
-  for (const Instance& listed :
+  for (const Instance& router :
        this->directory.InstancesWithRole(Role::kRouter)) {
-    if (listed.id == this->settings.instance) continue;
-    if (this->is_gone && this->is_gone(listed.id)) continue;
+    if (router.id == this->settings.instance) continue;
+    if (this->is_departed && this->is_departed(router.id)) continue;
     routing::EntryInstance instance;
-    instance.id = listed.id;
-    instance.address = listed.address;
-    instance.failure_domain = listed.failure_domain;
-    instance.leaving = listed.leaving;
+    instance.id = router.id;
+    instance.address = router.address;
+    instance.failure_domain = router.failure_domain;
+    instance.leaving = router.leaving;
     instances.push_back(std::move(instance));
   }
-  routing::EntryInstance own;
-  own.id = this->settings.instance;
-  own.address = this->settings.advertise.callers;
-  own.failure_domain = this->settings.failure_domain;
-  own.leaving = this->leaving;
-  instances.push_back(std::move(own));
+  routing::EntryInstance local;
+  local.id = this->settings.instance;
+  local.address = this->settings.advertise.callers;
+  local.failure_domain = this->settings.failure_domain;
+  local.leaving = this->leaving;
+  instances.push_back(std::move(local));
   return instances;
 }
 
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -10,14 +10,16 @@
 namespace toucanwharf::daemon {
 namespace {
 
-/// As often as the platform's list is read; it only names whom to probe.
-constexpr Duration kPeriod = std::chrono::seconds(1);
+/// Equals the poll period of the platform's list, which only supplies the peers
+/// to probe.
+constexpr Duration kSyncPeriod = std::chrono::seconds(1);
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
-exchange::Ports PortsOf(const ConfigCallbacks& config, AnswerSender answers) {
+exchange::Ports PeerPortsOf(const ConfigCallbacks& config,
+                            AnswerSender answer_sender) {
   exchange::Ports ports;
   ports.config = config.update_for;
-  ports.answer = std::move(answers);
+  ports.answer = std::move(answer_sender);
   return ports;
 }
 
@@ -26,7 +28,7 @@
 FleetSync::FleetSync(transport::EventLoop& loop,
                      const settings::Settings& settings,
                      const Directory& directory, Metrics& metrics,
-                     ConfigCallbacks config, AnswerSender answers,
+                     ConfigCallbacks config, AnswerSender answer_sender,
                      std::uint64_t seed)
     : loop(loop),
       settings(settings),
@@ -34,7 +36,8 @@
       metrics(metrics),
       config(std::move(config)),
       random(seed),
-      peers(loop, settings, PortsOf(this->config, std::move(answers))) {}
+      peers(loop, settings,
+            PeerPortsOf(this->config, std::move(answer_sender))) {}
 
 Result<void> FleetSync::Start() {
   BOOST_OUTCOME_TRY(this->peers.Start());
@@ -52,51 +55,52 @@
   this->peers.OnList(seeds);
   this->peers.Publish(membership::ItemKind::kGeneration, "",
                       std::to_string(this->config.generation()));
-  this->FetchFromNewer();
-  this->Report();
-  this->loop.After(kPeriod, [this] { this->Tick(); });
+  this->FetchNewerConfig();
+  this->ExportMetrics();
+  this->loop.After(kSyncPeriod, [this] { this->Tick(); });
 }
 
-void FleetSync::FetchFromNewer() {
+void FleetSync::FetchNewerConfig() {
   if (this->fetching) return;
   std::map<std::string, std::string> addresses;
   for (const membership::Member& member : this->peers.Present()) {
     addresses[member.id] = member.address;
   }
-  const std::uint64_t own = this->config.generation();
+  const std::uint64_t local = this->config.generation();
   std::vector<std::string> newer;
   for (const auto& item :
        this->peers.Items(membership::ItemKind::kGeneration)) {
     std::uint64_t generation = 0;
-    const bool number = absl::SimpleAtoi(item.value, &generation);
-    if (!number) continue;
-    if (generation <= own || !addresses.contains(item.name.owner)) continue;
+    const bool valid = absl::SimpleAtoi(item.value, &generation);
+    if (!valid) continue;
+    if (generation <= local || !addresses.contains(item.name.owner)) continue;
     newer.push_back(addresses.at(item.name.owner));
   }
   if (newer.empty()) return;
-  // Any of them, so that not all routers ask the same one after a change.
+  // A random one, so that not all routers fetch from the same peer after a
+  // change.
   const std::string& address = newer[this->random.Below(newer.size())];
   this->fetching = true;
   this->metrics.Count("toucanwharf_peer_config_fetches_total");
-  this->peers.Client().FetchConfig(address, own, kFetchTimeout,
+  this->peers.Client().FetchConfig(address, local, kFetchTimeout,
                                    [this](const Result<std::string>& update) {
                                      this->fetching = false;
                                      if (!update) return;
-                                     this->config.take_update(update.value());
+                                     this->config.apply_update(update.value());
                                    });
 }
 
-void FleetSync::Report() {
+void FleetSync::ExportMetrics() {
   const exchange::Counters counts = this->peers.Counts();
-  const auto set = [this](const char* name, std::uint64_t value) {
+  const auto set_gauge = [this](const char* name, std::uint64_t value) {
     this->metrics.Set(name, static_cast<double>(value));
   };
-  set("toucanwharf_members", this->peers.Present().size());
-  set("toucanwharf_peer_probes_sent", counts.probes_sent);
-  set("toucanwharf_peer_probes_received", counts.probes_received);
-  set("toucanwharf_peer_probes_failed", counts.probes_failed);
-  set("toucanwharf_peer_bytes_sent", counts.bytes_sent);
-  set("toucanwharf_peer_bytes_received", counts.bytes_received);
+  set_gauge("toucanwharf_members", this->peers.Present().size());
+  set_gauge("toucanwharf_peer_probes_sent", counts.probes_sent);
+  set_gauge("toucanwharf_peer_probes_received", counts.probes_received);
+  set_gauge("toucanwharf_peer_probes_failed", counts.probes_failed);
+  set_gauge("toucanwharf_peer_bytes_sent", counts.bytes_sent);
+  set_gauge("toucanwharf_peer_bytes_received", counts.bytes_received);
 }
 
 std::optional<std::string> FleetSync::OriginOf(const std::string& id) const {
--- a/lib/daemon/openai.cc
+++ b/lib/daemon/openai.cc
@@ -11,11 +11,11 @@
 
 constexpr int kBadRequest = 400;
 constexpr std::uint32_t kDefaultMaxTokens = 256;
-constexpr std::uint32_t kLargestMaxTokens = 1000000;
+constexpr std::uint32_t kMaxTokensLimit = 1000000;
 constexpr std::size_t kBytesPerToken = 4;
-// Deeper documents are refused before they are parsed into a tree, whose
-// destruction would recurse as deep.
-constexpr int kDeepestJson = 64;
+// Deeper documents are refused before a tree is built from them, since its
+// destruction recurses to the same depth.
+constexpr int kMaxJsonDepth = 64;
 
 Refusal Malformed(std::string message) {
   Refusal refusal;
@@ -33,7 +33,7 @@
   bool too_deep = false;
   const auto callback = [&too_deep](int depth, Json::parse_event_t /*event*/,
                                     Json& /*parsed*/) {
-    if (depth > kDeepestJson) too_deep = true;
+    if (depth > kMaxJsonDepth) too_deep = true;
     return !too_deep;
   };
   Json parsed = Json::parse(body, callback, /*allow_exceptions=*/false);
@@ -41,16 +41,17 @@
   return parsed;
 }
 
-/// Text of a message's content: a string, or the text parts of an array.
+/// Returns the text of a message's content: a string, or the joined text parts
+/// of an array.
 std::optional<std::string> ContentText(const Json& content) {
   if (content.is_string()) return content.get<std::string>();
   if (!content.is_array()) return std::nullopt;
   std::string text;
   for (const Json& part : content) {
     if (!part.is_object()) return std::nullopt;
-    const auto piece = part.find("text");
-    if (piece == part.end() || !piece->is_string()) return std::nullopt;
-    text += piece->get<std::string>();
+    const auto part_text = part.find("text");
+    if (part_text == part.end() || !part_text->is_string()) return std::nullopt;
+    text += part_text->get<std::string>();
   }
   return text;
 }
@@ -81,20 +82,21 @@
   return prompt->get<std::string>();
 }
 
-/// Reads a count; nothing when it is there and not a fitting number.
+/// Returns the token limit, or the default if it is absent; nothing when it is
+/// present and invalid.
 std::optional<std::uint32_t> MaxTokensOf(const Json& request) {
   for (const char* name : {"max_completion_tokens", "max_tokens"}) {
     const auto found = request.find(name);
     if (found == request.end() || found->is_null()) continue;
     if (!found->is_number_unsigned()) return std::nullopt;
     const auto count = found->get<std::uint64_t>();
-    if (count == 0 || count > kLargestMaxTokens) return std::nullopt;
+    if (count == 0 || count > kMaxTokensLimit) return std::nullopt;
     return static_cast<std::uint32_t>(count);
   }
   return kDefaultMaxTokens;
 }
 
-Json Frame(const CompletionNaming& naming, const char* chat_object) {
+Json CommonMembers(const CompletionNaming& naming, const char* chat_object) {
   const bool chat = naming.shape == CompletionShape::kChat;
   return {{"id", naming.id},
           {"object", chat ? chat_object : "text_completion"},
@@ -129,7 +131,7 @@
   const auto max_tokens = MaxTokensOf(*request);
   if (!max_tokens) {
     return Malformed("member max_tokens must be a whole number from 1 to " +
-                     std::to_string(kLargestMaxTokens));
+                     std::to_string(kMaxTokensLimit));
   }
   parsed.max_tokens = *max_tokens;
   const auto stream = request->find("stream");
@@ -150,7 +152,7 @@
 
 std::string TokenChunk(const CompletionNaming& naming, std::uint32_t index,
                        std::string_view text) {
-  Json chunk = Frame(naming, "chat.completion.chunk");
+  Json chunk = CommonMembers(naming, "chat.completion.chunk");
   Json choice = {{"index", 0}, {"finish_reason", nullptr}};
   if (naming.shape == CompletionShape::kChat) {
     choice["delta"] = {{"content", text}};
@@ -165,7 +167,7 @@
 
 std::string FinishChunk(const CompletionNaming& naming,
                         std::string_view finish_reason) {
-  Json chunk = Frame(naming, "chat.completion.chunk");
+  Json chunk = CommonMembers(naming, "chat.completion.chunk");
   Json choice = {{"index", 0}, {"finish_reason", finish_reason}};
   if (naming.shape == CompletionShape::kChat) {
     choice["delta"] = Json::object();
@@ -182,7 +184,7 @@
                         std::string_view finish_reason) {
   std::string text;
   for (const std::string& token : tokens) text += token;
-  Json answer = Frame(naming, "chat.completion");
+  Json answer = CommonMembers(naming, "chat.completion");
   Json choice = {{"index", 0}, {"finish_reason", finish_reason}};
   if (naming.shape == CompletionShape::kChat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
--- a/lib/daemon/router.cc
+++ b/lib/daemon/router.cc
@@ -38,15 +38,15 @@
 using Json = nlohmann::json;
 using SharedExchange = std::shared_ptr<transport::Exchange>;
 
-// Events that one answer of the time line holds; the reader asks again with
-// the last sequence.
+// Maximum number of events per timeline response; the client requests the next
+// page with the last sequence number.
 constexpr std::size_t kTimelinePage = 2000;
 constexpr Duration kDrainCheckPeriod = std::chrono::milliseconds(100);
 
 }  // namespace
 
-/// All parts of a router, in the order they depend on each other; they are
-/// taken apart in reverse.
+/// All components of a router, in dependency order; destruction runs in
+/// reverse.
 struct Router::Parts {
   explicit Parts(settings::Settings new_settings)
       : settings(std::move(new_settings)),
@@ -65,21 +65,22 @@
         fleet(this->loop, this->settings, this->directory, this->metrics,
               this->MakeConfigCallbacks(), this->MakeAnswerSender(),
               this->seed),
-        gate(this->loop, this->directory, this->metrics, this->seed),
-        runner(this->loop, this->client, this->gate, this->metrics,
+        answer_admission(this->loop, this->directory, this->metrics,
+                         this->seed),
+        runner(this->loop, this->client, this->answer_admission, this->metrics,
                this->events),
         sessions(this->loop, this->runner, this->metrics),
         relay(this->loop, this->sessions),
         services(this->client, this->directory, this->journal, this->metrics,
                  this->seed),
-        entries(this->directory, this->settings, this->seed),
+        entry_advice(this->directory, this->settings, this->seed),
         callers(this->loop, this->settings, this->config, this->sessions,
-                this->services, this->entries, this->metrics),
+                this->services, this->entry_advice, this->metrics),
         admin(this->settings.admin_key, this->MakeAdminCallbacks()) {
-    this->entries.SetDepartedSource(
+    this->entry_advice.SetDepartedSource(
         [this](const std::string& id) { return this->fleet.IsDeparted(id); });
-    this->entries.SetTrafficShare([this](const std::string& customer) {
-      return this->gate.TrafficShareOf(customer);
+    this->entry_advice.SetTrafficShare([this](const std::string& customer) {
+      return this->answer_admission.TrafficShareOf(customer);
     });
     this->callers.SetResumeElsewhere(
         [this](const std::string& id, std::uint32_t from,
@@ -100,29 +101,30 @@
   }
 
   ConfigCallbacks MakeConfigCallbacks() {
-    ConfigCallbacks ports;
-    ports.generation = [this] { return this->config.Catalog().generation; };
-    ports.update_for = [this](std::uint64_t since) {
+    ConfigCallbacks callbacks;
+    callbacks.generation = [this] { return this->config.Catalog().generation; };
+    callbacks.update_for = [this](std::uint64_t since) {
       return this->config.UpdateFor(since);
     };
-    ports.take_update = [this](const std::string& text) {
+    callbacks.apply_update = [this](const std::string& text) {
       return this->config.OnPeerUpdate(text);
     };
-    return ports;
+    return callbacks;
   }
 
   AdminCallbacks MakeAdminCallbacks() {
-    AdminCallbacks ports;
-    ports.status = [this] { return this->Status(); };
-    ports.timeline = [this](std::uint64_t after) {
+    AdminCallbacks callbacks;
+    callbacks.status = [this] { return this->Status(); };
+    callbacks.timeline = [this](std::uint64_t after) {
       return timeline::ToJson(this->events.After(after, kTimelinePage));
     };
-    ports.metrics = [this] { return this->metrics.Render(); };
-    ports.drain = [this] { this->BeginDrain(); };
-    return ports;
+    callbacks.metrics = [this] { return this->metrics.Render(); };
+    callbacks.drain = [this] { this->BeginDrain(); };
+    return callbacks;
   }
 
-  /// Tells the configuration who is live, and the metrics what is in force.
+  /// Gives the configuration its source of live routers, and exports the
+  /// generation in force as a metric.
   void ConnectConfig() {
     this->config.SetLiveRouters([this] {
       std::vector<std::string> ids;
@@ -152,7 +154,7 @@
     return status.dump() + "\n";
   }
 
-  void Note(timeline::EventKind kind) {
+  void RecordEvent(timeline::EventKind kind) {
     timeline::EventDetails details;
     details.kind = kind;
     details.endpoint = this->settings.instance;
@@ -163,8 +165,8 @@
     if (this->drain_began) return;
     this->drain_began = this->loop.Now();
     LOG(INFO) << "drain of " << this->settings.instance << " begins";
-    this->Note(timeline::EventKind::kDrainBegan);
-    this->entries.Leave();
+    this->RecordEvent(timeline::EventKind::kDrainBegan);
+    this->entry_advice.Leave();
     this->fleet.AnnounceDrain();
     this->config.ReleaseLease();
     this->CheckDrain();
@@ -172,13 +174,13 @@
 
   void CheckDrain() {
     const TimePoint now = this->loop.Now();
-    const Duration passed = now - *this->drain_began;
-    if (now >= this->entries.ServeUntil(*this->drain_began)) {
+    const Duration elapsed = now - *this->drain_began;
+    if (now >= this->entry_advice.ServeUntil(*this->drain_began)) {
       this->caller_server->StopListening();
       const bool idle = this->runner.Running() == 0 &&
                         this->services.Running() == 0 && this->journal.Idle() &&
                         this->caller_server->OpenExchanges() == 0;
-      if (idle || passed >= this->settings.timeouts.drain) {
+      if (idle || elapsed >= this->settings.timeouts.drain) {
         LOG(INFO) << "drain of " << this->settings.instance << " complete";
         this->loop.Stop();
         return;
@@ -191,17 +193,18 @@
     transport::ServerLimits limits;
     limits.body_bytes = this->settings.limits.body_bytes;
     limits.connections = this->settings.limits.connections;
-    BOOST_OUTCOME_TRY(for_callers, transport::HttpServer::Open(
-                                       this->settings.listen.callers, limits,
-                                       [this](const SharedExchange& exchange) {
-                                         this->loop.Post([this, exchange] {
-                                           this->callers.Serve(exchange);
-                                         });
-                                       }));
+    BOOST_OUTCOME_TRY(
+        caller_listener,
+        transport::HttpServer::Open(this->settings.listen.callers, limits,
+                                    [this](const SharedExchange& exchange) {
+                                      this->loop.Post([this, exchange] {
+                                        this->callers.Serve(exchange);
+                                      });
+                                    }));
     transport::ServerLimits admin_limits;
     admin_limits.threads = 1;
     BOOST_OUTCOME_TRY(
-        for_operators,
+        admin_listener,
         transport::HttpServer::Open(this->settings.listen.admin, admin_limits,
                                     [this](const SharedExchange& exchange) {
                                       this->loop.Post([this, exchange] {
@@ -209,8 +212,8 @@
                                       });
                                     }));
     BOOST_OUTCOME_TRY(this->fleet.Start());
-    this->caller_server = std::move(for_callers);
-    this->admin_server = std::move(for_operators);
+    this->caller_server = std::move(caller_listener);
+    this->admin_server = std::move(admin_listener);
     return Success();
   }
 
@@ -226,12 +229,12 @@
   platform::ConfigService config;
   platform::IdempotencyJournal journal;
   FleetSync fleet;
-  AnswerAdmission gate;
+  AnswerAdmission answer_admission;
   AnswerRunner runner;
   AnswerSessions sessions;
   AnswerRelay relay;
   ServiceRunner services;
-  EntryAdviceProvider entries;
+  EntryAdviceProvider entry_advice;
   CallerApi callers;
   AdminApi admin;
   std::unique_ptr<transport::HttpServer> caller_server;
@@ -250,8 +253,8 @@
 }
 
 void Router::Run() {
-  this->parts->Note(timeline::EventKind::kStarted);
-  this->parts->gate.Start();
+  this->parts->RecordEvent(timeline::EventKind::kStarted);
+  this->parts->answer_admission.Start();
   this->parts->directory.Start();
   this->parts->ConnectConfig();
   this->parts->config.Start();
--- a/lib/daemon/service_runner.cc
+++ b/lib/daemon/service_runner.cc
@@ -18,12 +18,12 @@
 constexpr int kConflict = 409;
 constexpr int kUnprocessable = 422;
 constexpr int kUnavailable = 503;
-/// How long a call waits for its claim. A store that answers within its usual
-/// milliseconds never comes near; in an outage the caller hears soon.
-constexpr Duration kClaimPatience = std::chrono::seconds(3);
+/// Maximum wait for a claim. Far above the store's usual few milliseconds, and
+/// short enough that a caller is refused soon during an outage.
+constexpr Duration kClaimTimeout = std::chrono::seconds(3);
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
-constexpr std::size_t kMostTries = 3;
+constexpr std::size_t kMaxAttempts = 3;
 constexpr Duration kConnectTimeout = std::chrono::seconds(1);
 constexpr Duration kRetryAfter = std::chrono::seconds(2);
 constexpr const char* kRanHeader = "toucanwharf-ran";
@@ -105,15 +105,16 @@
   return best != nullptr && best->idempotent;
 }
 
-/// One call under way, over all its tries.
+/// One call in progress, across all its attempts.
 struct ServiceRunner::Call {
   ServiceJob job;
   Done done;
-  std::set<std::string> tried;
+  std::set<std::string> attempted;
   std::string endpoint;
-  // Whether an earlier try may have run; then "not run" would be a lie (I3).
+  // Whether an earlier attempt may have run; then the call must not be reported
+  // as not run (I3).
   bool may_have_run = false;
-  /// What the journal knows the call by, once its key is granted.
+  /// Request and claim in the journal, for a call with a caller's key.
   platform::IdempotentRequest request;
   std::string claim;
   bool granted = false;
@@ -135,15 +136,15 @@
   auto call = std::make_shared<Call>();
   call->job = std::move(job);
   call->done = std::move(done);
-  // A call without a key of the caller's own can't come again: it needs no
-  // claim, and "not run" is known without the platform.
-  const bool keyed = !call->job.idempotent &&
-                     call->job.idempotency_key != call->job.request_id;
-  if (keyed) {
+  // A call without a caller-supplied key can't be repeated, so it needs no
+  // claim, and that it did not run is known without the platform.
+  const bool has_caller_key = !call->job.idempotent &&
+                              call->job.idempotency_key != call->job.request_id;
+  if (has_caller_key) {
     this->ClaimKey(call);
     return;
   }
-  this->Try(call);
+  this->StartAttempt(call);
 }
 
 void ServiceRunner::ClaimKey(const std::shared_ptr<Call>& call) {
@@ -152,18 +153,18 @@
   call->request.service = job.service.name;
   call->request.idempotency_key = job.idempotency_key;
   call->request.content = job.method + " " + job.target + "\n" + job.body;
-  call->request.verdict_timeout = std::min(kClaimPatience, job.service.timeout);
+  call->request.verdict_timeout = std::min(kClaimTimeout, job.service.timeout);
   const auto done = [this, call](once::Verdict verdict) {
-    this->TakeVerdict(call, std::move(verdict));
+    this->OnVerdict(call, std::move(verdict));
   };
   call->claim = this->journal.Claim(call->request, done);
 }
 
-void ServiceRunner::TakeVerdict(const std::shared_ptr<Call>& call,
-                                once::Verdict verdict) {
+void ServiceRunner::OnVerdict(const std::shared_ptr<Call>& call,
+                              once::Verdict verdict) {
   if (std::holds_alternative<once::Granted>(verdict)) {
     call->granted = true;
-    this->Try(call);
+    this->StartAttempt(call);
     return;
   }
   if (const auto* refused = std::get_if<once::Refused>(&verdict)) {
@@ -188,7 +189,8 @@
                              std::move(outcome.body)});
 }
 
-void ServiceRunner::Conclude(const Call& call, const ServiceResult& result) {
+void ServiceRunner::RecordOutcome(const Call& call,
+                                  const ServiceResult& result) {
   if (!call.granted) return;
   once::KeyState state = once::KeyState::kOutcomeLost;
   once::Outcome outcome;
@@ -198,18 +200,19 @@
   } else if (std::get<Refusal>(result).ran == pipeline::Ran::kNo) {
     state = once::KeyState::kNotRun;
   }
-  this->journal.Conclude(call.request, call.claim, state, std::move(outcome));
+  this->journal.RecordOutcome(call.request, call.claim, state,
+                              std::move(outcome));
 }
 
-void ServiceRunner::Try(const std::shared_ptr<Call>& call) {
+void ServiceRunner::StartAttempt(const std::shared_ptr<Call>& call) {
   std::vector<Instance> usable;
   for (Instance& instance :
        this->directory.ServiceInstances(call->job.service.name)) {
-    if (!call->tried.contains(instance.id)) {
+    if (!call->attempted.contains(instance.id)) {
       usable.push_back(std::move(instance));
     }
   }
-  if (usable.empty() || call->tried.size() >= kMostTries) {
+  if (usable.empty() || call->attempted.size() >= kMaxAttempts) {
     const auto ran =
         call->may_have_run ? pipeline::Ran::kUnknown : pipeline::Ran::kNo;
     this->Finish(call, MakeRefusal(call->job, kUnavailable, "no_endpoint",
@@ -219,7 +222,7 @@
     return;
   }
   const Instance& chosen = usable[this->random.Below(usable.size())];
-  call->tried.insert(chosen.id);
+  call->attempted.insert(chosen.id);
   call->endpoint = chosen.id;
   HttpCall http;
   http.method = call->job.method;
@@ -236,13 +239,13 @@
   http.reuse = call->job.idempotent ? transport::Reuse::kAllowed
                                     : transport::Reuse::kNever;
   const auto on_done = [this, call](const HttpOutcome& outcome) {
-    this->TakeOutcome(call, outcome);
+    this->OnOutcome(call, outcome);
   };
   this->client.Start(std::move(http), {nullptr, on_done});
 }
 
-void ServiceRunner::TakeOutcome(const std::shared_ptr<Call>& call,
-                                const HttpOutcome& outcome) {
+void ServiceRunner::OnOutcome(const std::shared_ptr<Call>& call,
+                              const HttpOutcome& outcome) {
   const bool answered = outcome.end == CallEnd::kAnswered;
   if (answered && !RefusedBeforeRunning(outcome)) {
     ServiceAnswer answer;
@@ -253,11 +256,11 @@
     this->Finish(call, std::move(answer));
     return;
   }
-  const bool surely_not_run = answered || !outcome.sent;
-  if (!surely_not_run) call->may_have_run = true;
-  if (surely_not_run || call->job.idempotent) {
+  const bool known_not_run = answered || !outcome.sent;
+  if (!known_not_run) call->may_have_run = true;
+  if (known_not_run || call->job.idempotent) {
     this->metrics.Count("toucanwharf_service_retries_total");
-    this->Try(call);
+    this->StartAttempt(call);
     return;
   }
   const bool timed_out = outcome.end == CallEnd::kTimedOut;
@@ -273,7 +276,7 @@
 void ServiceRunner::Finish(const std::shared_ptr<Call>& call,
                            ServiceResult result) {
   --this->calls_running;
-  this->Conclude(*call, result);
+  this->RecordOutcome(*call, result);
   call->done(std::move(result));
 }
 
--- a/lib/platform/client.cc
+++ b/lib/platform/client.cc
@@ -19,12 +19,12 @@
 constexpr int kConflict = 409;
 constexpr int kGone = 410;
 constexpr int kUnavailable = 503;
-/// The platform answers in milliseconds; a call without an answer for so long
-/// is taken as unknown and asked again or read back.
+/// The platform responds within milliseconds. A call without a response for
+/// this long ends as unknown; its caller repeats it or reads the object back.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(1500);
-/// How long a call may wait for the budget before it ends as unknown.
-constexpr Duration kLongestHold = std::chrono::milliseconds(1000);
-constexpr Duration kHoldCheck = std::chrono::milliseconds(10);
+/// Maximum wait for the call budget before a call ends as unknown.
+constexpr Duration kMaxLimiterWait = std::chrono::milliseconds(1000);
+constexpr Duration kLimiterPollPeriod = std::chrono::milliseconds(10);
 
 Json Body(const HttpOutcome& outcome) {
   if (outcome.end != CallEnd::kAnswered) return Json();
@@ -65,11 +65,11 @@
     return answer;
   }
   const Json body = Body(outcome);
-  const bool whole = outcome.status == kOk && body.is_object() &&
+  const bool valid = outcome.status == kOk && body.is_object() &&
                      body.contains("events") && body["events"].is_array();
-  if (!whole) return answer;
+  if (!valid) return answer;
   answer.status = WatchStatus::kEvents;
-  answer.reached = NumberMember(body, "revision");
+  answer.revision = NumberMember(body, "revision");
   for (const Json& event : body["events"]) {
     if (!event.is_object() || !event.contains("object")) continue;
     answer.events.push_back(store::Event{TextMember(event, "type") == "delete",
@@ -80,9 +80,9 @@
 
 std::optional<store::Listing> ToListing(const HttpOutcome& outcome) {
   const Json body = Body(outcome);
-  const bool whole = outcome.status == kOk && body.is_object() &&
+  const bool valid = outcome.status == kOk && body.is_object() &&
                      body.contains("items") && body["items"].is_array();
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   store::Listing listing{NumberMember(body, "revision"), {}};
   for (const Json& item : body["items"]) {
     if (item.is_object()) listing.objects.push_back(ToObject(item));
@@ -113,45 +113,46 @@
     : loop(event_loop),
       http(http_client),
       address(std::move(platform_address)),
-      gate(store::CallLimits{}, Random(seed)),
-      watch_gate(store::CallLimits{}, Random(MixBits(seed))) {}
+      call_limiter(store::CallLimits{}, Random(seed)),
+      watch_limiter(store::CallLimits{}, Random(MixBits(seed))) {}
 
-void Client::Enter(HttpCall call, store::CallLimiter& through, Done done,
-                   TimePoint give_up) {
+void Client::StartWhenAllowed(HttpCall call, store::CallLimiter& limiter,
+                              Done done, TimePoint deadline) {
   const TimePoint now = this->loop.Now();
-  if (!through.TryAcquire(now)) {
-    if (now >= give_up) {
+  if (!limiter.TryAcquire(now)) {
+    if (now >= deadline) {
       done(HttpOutcome{});
       return;
     }
-    auto retry = [this, call = std::move(call), &through,
-                  done = std::move(done), give_up]() mutable {
-      this->Enter(std::move(call), through, std::move(done), give_up);
+    auto retry = [this, call = std::move(call), &limiter,
+                  done = std::move(done), deadline]() mutable {
+      this->StartWhenAllowed(std::move(call), limiter, std::move(done),
+                             deadline);
     };
-    this->loop.After(kHoldCheck, std::move(retry));
+    this->loop.After(kLimiterPollPeriod, std::move(retry));
     return;
   }
   ++this->calls;
-  const auto on_done = [this, &through,
+  const auto on_done = [this, &limiter,
                         done = std::move(done)](const HttpOutcome& outcome) {
     const bool answered =
         outcome.end == CallEnd::kAnswered && outcome.status != kUnavailable;
     if (answered) {
-      through.OnSuccess();
+      limiter.OnSuccess();
     } else {
-      through.OnFailure(this->loop.Now());
+      limiter.OnFailure(this->loop.Now());
     }
     done(outcome);
   };
   this->http.Start(std::move(call), {nullptr, on_done});
 }
 
-void Client::Start(HttpCall call, store::CallLimiter& through, Done done) {
+void Client::Start(HttpCall call, store::CallLimiter& limiter, Done done) {
   call.url = "http://" + this->address + call.url;
-  const TimePoint give_up = this->loop.Now() + kLongestHold;
-  auto enter = [this, call = std::move(call), &through, done = std::move(done),
-                give_up]() mutable {
-    this->Enter(std::move(call), through, std::move(done), give_up);
+  const TimePoint deadline = this->loop.Now() + kMaxLimiterWait;
+  auto enter = [this, call = std::move(call), &limiter, done = std::move(done),
+                deadline]() mutable {
+    this->StartWhenAllowed(std::move(call), limiter, std::move(done), deadline);
   };
   this->loop.Post(std::move(enter));
 }
@@ -161,7 +162,7 @@
   HttpCall call;
   call.url = Path(key);
   call.total_timeout = kCallTimeout;
-  this->Start(std::move(call), this->gate,
+  this->Start(std::move(call), this->call_limiter,
               [done = std::move(done)](const HttpOutcome& outcome) {
                 done(ToReadAnswer(outcome));
               });
@@ -173,7 +174,7 @@
       ",\"if_version\":" + std::to_string(write.if_version);
   HttpCall call = MakePut(write.key, write.writer, write.value, condition);
   call.total_timeout = kCallTimeout;
-  this->Start(std::move(call), this->gate,
+  this->Start(std::move(call), this->call_limiter,
               [done = std::move(done)](const HttpOutcome& outcome) {
                 done(ToWriteAnswer(outcome));
               });
@@ -183,7 +184,7 @@
                  const std::string& value, std::function<void(bool)> done) {
   HttpCall call = MakePut(key, writer, value, "");
   call.total_timeout = kCallTimeout;
-  this->Start(std::move(call), this->gate,
+  this->Start(std::move(call), this->call_limiter,
               [done = std::move(done)](const HttpOutcome& outcome) {
                 if (done) done(outcome.status == kOk);
               });
@@ -194,7 +195,7 @@
   HttpCall call;
   call.url = "/objects/" + collection;
   call.total_timeout = kCallTimeout;
-  this->Start(std::move(call), this->gate,
+  this->Start(std::move(call), this->call_limiter,
               [done = std::move(done)](const HttpOutcome& outcome) {
                 done(ToListing(outcome));
               });
@@ -208,7 +209,7 @@
   call.url = "/watch/" + collection + "?after=" + std::to_string(after) +
              "&wait_ms=" + std::to_string(millis);
   call.total_timeout = wait + kCallTimeout;
-  this->Start(std::move(call), this->watch_gate,
+  this->Start(std::move(call), this->watch_limiter,
               [done = std::move(done)](const HttpOutcome& outcome) {
                 done(ToWatchAnswer(outcome));
               });
--- a/lib/platform/config_service.cc
+++ b/lib/platform/config_service.cc
@@ -16,12 +16,12 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
-/// A waiting watch counts as one call; longer ones cost less.
+constexpr Duration kTickPeriod = std::chrono::milliseconds(50);
+/// A watch costs one call however long it waits, so longer ones cost less.
 constexpr Duration kWatchWait = std::chrono::seconds(20);
 /// Pause after a failed read of the head or of a delta.
-constexpr Duration kRetry = std::chrono::milliseconds(200);
-/// Time between the holder's looks at the status objects.
+constexpr Duration kRetryDelay = std::chrono::milliseconds(200);
+/// Period at which the lease holder lists the status objects.
 constexpr Duration kStatusPeriod = std::chrono::seconds(1);
 constexpr const char* kReportPrefix = "router.";
 
@@ -43,10 +43,11 @@
   return "unknown";
 }
 
-/// Parses what records look like, once per loop thread.
-SchemaRecordInspector& Schemas() {
-  thread_local SchemaRecordInspector schemas;
-  return schemas;
+/// One inspector per loop thread, so that its cache of parsed records is
+/// shared.
+SchemaRecordInspector& Inspector() {
+  thread_local SchemaRecordInspector inspector;
+  return inspector;
 }
 
 }  // namespace
@@ -62,97 +63,98 @@
       publisher(incarnation_id) {}
 
 void ConfigService::Start() {
-  this->FollowHead();
-  this->Report();
+  this->ReadHead();
+  this->ReportInForce();
   this->Tick();
 }
 
-void ConfigService::FollowHead() {
+void ConfigService::ReadHead() {
   const store::ObjectKey key{control::kConfigCollection, control::kHeadName};
   const auto on_read = [this](const store::ReadAnswer& answer) {
     if (answer.status == store::ReadStatus::kUnknown) {
-      this->loop.After(kRetry, [this] { this->FollowHead(); });
+      this->loop.After(kRetryDelay, [this] { this->ReadHead(); });
       return;
     }
     if (answer.status == store::ReadStatus::kFound) {
-      this->TakeHead(answer.object);
+      this->ApplyHead(answer.object);
     }
-    this->FollowWatch(this->follower.HeadVersion());
+    this->WatchHead(this->follower.HeadVersion());
   };
   this->client.Read(key, on_read);
 }
 
-void ConfigService::FollowWatch(std::uint64_t after) {
+void ConfigService::WatchHead(std::uint64_t after) {
   const auto on_events = [this, after](const WatchAnswer& answer) {
     if (answer.status == WatchStatus::kEvents) {
-      this->TakeEvents(answer);
-      this->FollowWatch(std::max(after, answer.reached));
+      this->ApplyEvents(answer);
+      this->WatchHead(std::max(after, answer.revision));
       return;
     }
-    this->loop.After(kRetry, [this] { this->FollowHead(); });
+    this->loop.After(kRetryDelay, [this] { this->ReadHead(); });
   };
   this->client.Watch(control::kConfigCollection, after, kWatchWait, on_events);
 }
 
-void ConfigService::TakeEvents(const WatchAnswer& answer) {
+void ConfigService::ApplyEvents(const WatchAnswer& answer) {
   for (const store::Event& event : answer.events) {
     const bool head = event.object.key.name == control::kHeadName;
     if (head && !event.deleted) this->follower.OnHead(event.object);
   }
-  // The events carry the deltas, and save the reads of them.
-  bool news = true;
-  while (news) {
-    news = false;
+  // The events contain the deltas, which saves reading them.
+  bool progressed = true;
+  while (progressed) {
+    progressed = false;
     const auto next = this->follower.NextRead();
     if (!next.has_value()) break;
     for (const store::Event& event : answer.events) {
       if (event.deleted || event.object.key != *next) continue;
-      news = true;
+      progressed = true;
       const store::ReadAnswer read{store::ReadStatus::kFound, event.object};
-      if (this->follower.OnRead(*next, read)) this->Adopted();
+      if (this->follower.OnRead(*next, read)) this->OnAdopted();
       break;
     }
   }
-  this->Fetch();
+  this->FetchNext();
 }
 
-void ConfigService::TakeHead(const std::optional<store::Object>& head) {
+void ConfigService::ApplyHead(const std::optional<store::Object>& head) {
   if (!head.has_value()) return;
   this->follower.OnHead(*head);
-  this->Fetch();
+  this->FetchNext();
 }
 
-void ConfigService::Fetch() {
-  if (this->fetching) return;
+void ConfigService::FetchNext() {
+  if (this->read_in_flight) return;
   const auto next = this->follower.NextRead();
   if (!next.has_value()) return;
-  this->fetching = true;
+  this->read_in_flight = true;
   const auto on_read = [this, key = *next](const store::ReadAnswer& answer) {
-    this->fetching = false;
-    if (this->follower.OnRead(key, answer)) this->Adopted();
+    this->read_in_flight = false;
+    if (this->follower.OnRead(key, answer)) this->OnAdopted();
     const bool read = answer.status == store::ReadStatus::kFound;
-    this->loop.After(read ? Duration(0) : kRetry, [this] { this->Fetch(); });
+    this->loop.After(read ? Duration(0) : kRetryDelay,
+                     [this] { this->FetchNext(); });
   };
   this->client.Read(*next, on_read);
 }
 
-void ConfigService::Adopted() {
+void ConfigService::OnAdopted() {
   this->catalog = CatalogOf(this->follower.Current());
   LOG(INFO) << "configuration generation " << this->catalog.generation
             << " in force, " << this->follower.Current().records.size()
             << " records";
-  this->Report();
+  this->ReportInForce();
   if (this->on_change) this->on_change();
 }
 
-void ConfigService::Report() {
-  if (this->reporting) return;
-  this->reporting = true;
+void ConfigService::ReportInForce() {
+  if (this->report_in_flight) return;
+  this->report_in_flight = true;
   const std::uint64_t generation = this->follower.Current().generation;
   const auto on_done = [this, generation](bool written) {
-    this->reporting = false;
+    this->report_in_flight = false;
     if (written && generation == this->follower.Current().generation) return;
-    this->loop.After(kRetry, [this] { this->Report(); });
+    this->loop.After(kRetryDelay, [this] { this->ReportInForce(); });
   };
   const Json report{{"instance", this->instance},
                     {"generation", generation},
@@ -170,7 +172,7 @@
 bool ConfigService::OnPeerUpdate(const std::string& text) {
   const auto update = control::DecodePeerUpdate(text);
   if (!update.has_value() || !this->follower.OnPeer(*update)) return false;
-  this->Adopted();
+  this->OnAdopted();
   return true;
 }
 
@@ -181,7 +183,7 @@
     this->TickPublish();
     this->TickStatuses();
   }
-  this->loop.After(kTick, [this] { this->Tick(); });
+  this->loop.After(kTickPeriod, [this] { this->Tick(); });
 }
 
 void ConfigService::TickLease() {
@@ -189,10 +191,10 @@
   if (!call.has_value()) return;
   if (const auto* write = std::get_if<store::Write>(&*call)) {
     const auto on_write = [this](const store::WriteAnswer& answer) {
-      const bool held = this->HoldsLease();
+      const bool held_before = this->HoldsLease();
       this->lease.OnWrite(answer, this->loop.Now());
-      if (held || !this->HoldsLease()) return;
-      LOG(INFO) << "lease acceptance taken, fencing number "
+      if (held_before || !this->HoldsLease()) return;
+      LOG(INFO) << "acquired lease acceptance, fencing number "
                 << this->lease.Fence();
     };
     this->client.Write(*write, on_write);
@@ -205,37 +207,38 @@
 }
 
 void ConfigService::TickMirror() {
-  if (this->mirror_waits) return;
-  this->mirror_waits = true;
+  if (this->mirror_call_in_flight) return;
+  this->mirror_call_in_flight = true;
   const store::Mirror::Call call = this->records_mirror.Next();
   if (call.list) {
     const auto on_list = [this](const std::optional<store::Listing>& listing) {
-      this->mirror_waits = false;
+      this->mirror_call_in_flight = false;
       if (listing.has_value()) this->records_mirror.OnListing(*listing);
     };
     this->client.List("records", on_list);
     return;
   }
   const auto on_events = [this, call](const WatchAnswer& answer) {
-    this->mirror_waits = false;
+    this->mirror_call_in_flight = false;
     if (answer.status == WatchStatus::kRevisionExpired)
       this->records_mirror.OnGone();
     if (answer.status != WatchStatus::kEvents) return;
-    this->records_mirror.OnEvents(call.after, answer.reached, answer.events);
+    this->records_mirror.OnEvents(call.after, answer.revision, answer.events);
   };
   this->client.Watch("records", call.after, kWatchWait, on_events);
 }
 
 control::SchemaReaders ConfigService::Readers() const {
   control::SchemaReaders readers;
-  const auto own = records::SupportedSchemas();
-  readers[this->instance] = {own.begin(), own.end()};
+  const auto own_schemas = records::SupportedSchemas();
+  readers[this->instance] = {own_schemas.begin(), own_schemas.end()};
   std::vector<std::string> live;
   if (this->live_routers) live = this->live_routers();
   for (const std::string& id : live) {
     const auto report = this->reports.find(id);
-    // An instance that hasn't reported yet is taken to read what this one does:
-    // holding every change back for it would stop all during a replacement.
+    // An instance that hasn't reported yet is assumed to read the same schemas
+    // as this one: waiting for it would block every change during a
+    // replacement.
     if (report != this->reports.end()) readers[id] = report->second.schemas;
   }
   return readers;
@@ -248,8 +251,8 @@
     const control::Config& config = this->follower.Current();
     const control::Review review =
         control::ReviewRecords(config.records, this->records_mirror.Objects(),
-                               this->Readers(), Schemas());
-    this->NoteStatuses(review, config.generation);
+                               this->Readers(), Inspector());
+    this->RecordStatuses(review, config.generation);
     if (!review.changes.empty()) {
       this->publisher.Start(this->follower, review.changes,
                             this->records_mirror.Revision(),
@@ -257,58 +260,59 @@
     }
   }
   const auto call = this->publisher.Poll(this->lease, this->loop.Now());
-  if (call.has_value()) this->CarryPublish(*call);
+  if (call.has_value()) this->PerformPublishCall(*call);
 }
 
-void ConfigService::CarryPublish(const control::LeaseCall& call) {
-  const auto go_on = [this] {
+void ConfigService::PerformPublishCall(const control::LeaseCall& call) {
+  const auto poll_again = [this] {
     const auto next = this->publisher.Poll(this->lease, this->loop.Now());
-    if (next.has_value()) this->CarryPublish(*next);
+    if (next.has_value()) this->PerformPublishCall(*next);
   };
   if (const auto* write = std::get_if<store::Write>(&call)) {
-    const auto on_write = [this, go_on](const store::WriteAnswer& answer) {
-      this->TakeHead(this->publisher.OnWrite(answer));
-      go_on();
+    const auto on_write = [this, poll_again](const store::WriteAnswer& answer) {
+      this->ApplyHead(this->publisher.OnWrite(answer));
+      poll_again();
     };
     this->client.Write(*write, on_write);
     return;
   }
-  const auto on_read = [this, go_on](const store::ReadAnswer& answer) {
-    this->TakeHead(this->publisher.OnRead(answer));
-    go_on();
+  const auto on_read = [this, poll_again](const store::ReadAnswer& answer) {
+    this->ApplyHead(this->publisher.OnRead(answer));
+    poll_again();
   };
   this->client.Read(std::get<store::ObjectKey>(call), on_read);
 }
 
-void ConfigService::NoteStatuses(const control::Review& review,
-                                 std::uint64_t generation) {
+void ConfigService::RecordStatuses(const control::Review& review,
+                                   std::uint64_t generation) {
   for (const auto& [name, status] : review.statuses) {
-    const bool taken = review.changes.contains(name);
-    this->statuses[name] = NotedStatus{status, generation + (taken ? 1 : 0)};
+    const bool changed = review.changes.contains(name);
+    this->statuses[name] =
+        RecordedStatus{status, generation + (changed ? 1 : 0)};
   }
   for (const auto& [name, object] : this->records_mirror.Objects()) {
     if (review.statuses.contains(name)) continue;
-    NotedStatus& noted = this->statuses[name];
-    if (noted.status.record_version == object.version) continue;
-    noted.status = control::RecordStatus{};
-    noted.status.record_version = object.version;
-    noted.generation = generation;
+    RecordedStatus& recorded = this->statuses[name];
+    if (recorded.status.record_version == object.version) continue;
+    recorded.status = control::RecordStatus{};
+    recorded.status.record_version = object.version;
+    recorded.generation = generation;
   }
 }
 
 void ConfigService::TickStatuses() {
   const TimePoint now = this->loop.Now();
-  if (this->statuses_wait || now < this->next_statuses) return;
-  this->statuses_wait = true;
-  this->next_statuses = now + kStatusPeriod;
+  if (this->status_list_in_flight || now < this->next_status_time) return;
+  this->status_list_in_flight = true;
+  this->next_status_time = now + kStatusPeriod;
   const auto on_list = [this](const std::optional<store::Listing>& listing) {
-    this->statuses_wait = false;
-    if (listing.has_value() && this->HoldsLease()) this->TakeStatuses(*listing);
+    this->status_list_in_flight = false;
+    if (listing.has_value() && this->HoldsLease()) this->OnStatuses(*listing);
   };
   this->client.List("status", on_list);
 }
 
-void ConfigService::TakeStatuses(const store::Listing& listing) {
+void ConfigService::OnStatuses(const store::Listing& listing) {
   std::map<std::string, std::string> present;
   this->reports.clear();
   for (const store::Object& object : listing.objects) {
@@ -327,27 +331,27 @@
   }
   std::vector<std::string> live;
   if (this->live_routers) live = this->live_routers();
-  const auto own = std::find(live.begin(), live.end(), this->instance);
-  if (own == live.end()) live.push_back(this->instance);
-  for (const auto& [name, noted] : this->statuses) {
+  const auto self = std::find(live.begin(), live.end(), this->instance);
+  if (self == live.end()) live.push_back(this->instance);
+  for (const auto& [name, recorded] : this->statuses) {
     Json behind = Json::array();
     for (const std::string& id : live) {
       const auto report = this->reports.find(id);
-      const bool has = report != this->reports.end() &&
-                       report->second.generation >= noted.generation;
-      if (!has) behind.push_back(id);
+      const bool up_to_date = report != this->reports.end() &&
+                              report->second.generation >= recorded.generation;
+      if (!up_to_date) behind.push_back(id);
     }
     const Json status{
-        {"state", TextOf(noted.status.state)},
-        {"generation", noted.generation},
-        {"record_version", noted.status.record_version},
-        {"reasons", noted.status.reasons},
+        {"state", TextOf(recorded.status.state)},
+        {"generation", recorded.generation},
+        {"record_version", recorded.status.record_version},
+        {"reasons", recorded.status.reasons},
         {"in_force",
          {{"on", live.size() - behind.size()}, {"of", live.size()}}},
         {"behind", behind}};
     const std::string text = status.dump();
-    const auto held = present.find(name);
-    if (held != present.end() && held->second == text) continue;
+    const auto existing = present.find(name);
+    if (existing != present.end() && existing->second == text) continue;
     this->client.Put({"status", name}, this->incarnation, text);
   }
 }
--- a/lib/platform/idempotency_journal.cc
+++ b/lib/platform/idempotency_journal.cc
@@ -8,11 +8,12 @@
 namespace toucanwharf::platform {
 namespace {
 
-/// Shards of the journal; the same in every instance for good. Each commits at
-/// most once in 20 ms, so that all together write 200 times a second.
+/// Number of shards; must be the same in every instance and never change. Each
+/// commits at most once in 20 ms, so that all together write 200 times a
+/// second.
 constexpr std::uint32_t kShards = 4;
-/// How often a shard with work is looked at: under the commit gap.
-constexpr Duration kPumpPeriod = std::chrono::milliseconds(5);
+/// Poll period of shards with work; shorter than the gap between commits.
+constexpr Duration kPollPeriod = std::chrono::milliseconds(5);
 
 std::string JournalKey(const IdempotentRequest& request) {
   return request.customer + "/" + request.service + "/" +
@@ -50,7 +51,7 @@
   std::string claim = NewId();
   const auto millis = MillisOf(request.idempotency_key);
   if (!millis.has_value()) {
-    // No instance ever accepts such a key, so "not run" is true (I3).
+    // No instance accepts such a key, so the request did not run (I3).
     auto refuse = [done = std::move(done)] {
       done(
           once::Refused{once::IdempotencyError::kKeyMalformed, once::Ran::kNo});
@@ -60,20 +61,21 @@
   }
   const std::string key = JournalKey(request);
   const TimePoint deadline = this->loop.Now() + request.verdict_timeout;
-  this->waiting.emplace(claim, std::move(done));
+  this->pending.emplace(claim, std::move(done));
   this->ShardOf(key).Claim(
       {key, claim, Sha256Hex(request.content), *millis, deadline});
-  this->loop.Post([this] { this->Pump(); });
+  this->loop.Post([this] { this->PollShards(); });
   return claim;
 }
 
-void IdempotencyJournal::Conclude(const IdempotentRequest& request,
-                                  const std::string& claim,
-                                  once::KeyState state, once::Outcome outcome) {
+void IdempotencyJournal::RecordOutcome(const IdempotentRequest& request,
+                                       const std::string& claim,
+                                       once::KeyState state,
+                                       once::Outcome outcome) {
   const std::string key = JournalKey(request);
   this->ShardOf(key).RecordOutcome(
       once::Entry{key, claim, "", state, std::move(outcome)}, this->loop.Now());
-  this->Pump();
+  this->PollShards();
 }
 
 bool IdempotencyJournal::Idle() const {
@@ -83,46 +85,46 @@
   return true;
 }
 
-void IdempotencyJournal::Pump() {
-  for (once::Shard& shard : this->shards) this->PumpShard(shard);
+void IdempotencyJournal::PollShards() {
+  for (once::Shard& shard : this->shards) this->PollShard(shard);
   if (this->timer_set || this->Idle()) return;
   this->timer_set = true;
-  auto again = [this] {
+  auto poll_again = [this] {
     this->timer_set = false;
-    this->Pump();
+    this->PollShards();
   };
-  this->loop.After(kPumpPeriod, std::move(again));
+  this->loop.After(kPollPeriod, std::move(poll_again));
 }
 
-void IdempotencyJournal::PumpShard(once::Shard& shard) {
+void IdempotencyJournal::PollShard(once::Shard& shard) {
   const auto call = shard.Poll(this->loop.Now(), WallMillis());
-  this->Deliver(shard);
-  if (call.has_value()) this->Carry(shard, *call);
+  this->DeliverDecisions(shard);
+  if (call.has_value()) this->PerformCall(shard, *call);
 }
 
-void IdempotencyJournal::Carry(once::Shard& shard,
-                               const once::ShardCall& call) {
+void IdempotencyJournal::PerformCall(once::Shard& shard,
+                                     const once::ShardCall& call) {
   if (const auto* write = std::get_if<store::Write>(&call)) {
     auto on_write = [this, &shard](const store::WriteAnswer& answer) {
       shard.OnWrite(answer);
-      this->PumpShard(shard);
+      this->PollShard(shard);
     };
     this->client.Write(*write, std::move(on_write));
     return;
   }
   auto on_read = [this, &shard](const store::ReadAnswer& answer) {
     shard.OnRead(answer);
-    this->PumpShard(shard);
+    this->PollShard(shard);
   };
   this->client.Read(std::get<store::ObjectKey>(call), std::move(on_read));
 }
 
-void IdempotencyJournal::Deliver(once::Shard& shard) {
+void IdempotencyJournal::DeliverDecisions(once::Shard& shard) {
   for (once::Decision& decision : shard.TakeDecisions()) {
-    const auto found = this->waiting.find(decision.claim);
-    if (found == this->waiting.end()) continue;
+    const auto found = this->pending.find(decision.claim);
+    if (found == this->pending.end()) continue;
     const Done done = std::move(found->second);
-    this->waiting.erase(found);
+    this->pending.erase(found);
     done(std::move(decision.verdict));
   }
 }
--- a/lib/platform/record_inspector.cc
+++ b/lib/platform/record_inspector.cc
@@ -20,8 +20,9 @@
   return parsed;
 }
 
-/// More distinct records than the target's 480 customers and their versions.
-constexpr std::size_t kMostParsed = 4096;
+/// Bounds the cache; above the number of distinct records for the target of 480
+/// customers and their versions.
+constexpr std::size_t kMaxParsedRecords = 4096;
 
 std::string SchemaOf(const std::string& text) {
   const Json json = Json::parse(text, nullptr, false);
@@ -44,7 +45,7 @@
     const std::string& text) const {
   const auto found = this->parsed.find(text);
   if (found != this->parsed.end()) return found->second;
-  if (this->parsed.size() >= kMostParsed) this->parsed.clear();
+  if (this->parsed.size() >= kMaxParsedRecords) this->parsed.clear();
   std::optional<records::Record> record;
   const auto document = records::ParseRecord(text);
   if (document.has_value()) record = document.value().record;
@@ -70,7 +71,8 @@
   const std::string& text = records.at(name);
   control::Inspection inspection{SchemaOf(text), {}};
   if (!this->Parsed(text).has_value()) {
-    // A schema of a later build isn't wrong: it waits for the instances.
+    // A schema of a later build isn't a problem: the record waits until the
+    // instances can read it.
     if (!inspection.schema.empty() && !ReadsSchema(inspection.schema)) {
       return inspection;
     }
@@ -86,15 +88,15 @@
                                   ": write it to the object of that name");
     return inspection;
   }
-  // What is wrong only with this record among the others is its doing, also
-  // when the check names the other one of two that conflict.
+  // A problem that appears only with this record is attributed to it, even when
+  // the check names the other one of two conflicting records.
   control::RecordMap others = records;
   others.erase(name);
   const std::vector<std::string> before = this->Problems(others);
   for (std::string& problem : this->Problems(records)) {
-    const bool old =
+    const bool preexisting =
         std::find(before.begin(), before.end(), problem) != before.end();
-    if (!old) inspection.problems.push_back(std::move(problem));
+    if (!preexisting) inspection.problems.push_back(std::move(problem));
   }
   return inspection;
 }
--- a/unittests/adapter/adapter_test.cc
+++ b/unittests/adapter/adapter_test.cc
@@ -34,8 +34,9 @@
   BOOST_TEST(parsed.settings.budget.slack == 196);
 }
 
-// An operator mends a settings file once, not once for each problem.
-BOOST_AUTO_TEST_CASE(AllProblemsAreNamedAtOnce) {
+// Guards against reporting only the first problem, so that an operator would
+// have to correct a settings file once for each.
+BOOST_AUTO_TEST_CASE(AllProblemsAreReportedTogether) {
   const auto parsed = ParsePlatformSettings(
       "node_name=front-1\nip=10.1.0.4\nlisten.front=nowhere\n"
       "bounds.revoke_ms=soon\nbounds.strict_revoke=perhaps\n");
@@ -78,7 +79,7 @@
   BOOST_TEST(read->customers.at(0).keys.at(0) == "k");
 }
 
-// A kind of request that a later version of the platform brings must not be
+// A kind of request that a later version of the platform adds must not be
 // repeated by a router that doesn't know it (I4).
 BOOST_AUTO_TEST_CASE(UnknownKindIsNotRepeated) {
   const auto read = DecodeConfiguration(
@@ -115,8 +116,8 @@
               (instance::StalledAnswer{"r-1", "10.0.0.9:80"}));
 }
 
-// Another writer's bytes, or a message cut short: nothing of it is believed,
-// and nothing else is harmed.
+// Bytes of another writer or a truncated message must be decoded without a
+// crash or undefined behavior.
 RC_BOOST_PROP(AnyTextIsDecodedSafely, (const std::string& text)) {
   store::Object object;
   object.key = {"servers", "i-1"};
@@ -127,7 +128,7 @@
   (void)ParsePlatformSettings(text);
 }
 
-BOOST_AUTO_TEST_CASE(WrongTypesNameNoEndpoint) {
+BOOST_AUTO_TEST_CASE(ValuesOfWrongTypeGiveNoEndpoint) {
   for (const char* value :
        {"7", "null", "[]", "{}", R"({"service":5,"addr":"a:1","zone":"z",
         "slots":1,"state":"ready"})",
@@ -142,7 +143,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(OrdersSayWhatTheyExpect) {
+BOOST_AUTO_TEST_CASE(OrderRequestsCarryExpectedSequence) {
   const auto place = PlatformAdapter::OrderRequest({"i-1", {20, 31}, 4});
   const auto body = nlohmann::json::parse(place.body);
   BOOST_TEST(body["op"] == "place");
--- a/unittests/adapter/store_reads_test.cc
+++ b/unittests/adapter/store_reads_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-/// A store that takes its time for every answer.
+/// A store that responds slowly and counts concurrent reads.
 class SlowStore {
  public:
   explicit SlowStore(http::Loop& event_loop) : loop(event_loop) {}
@@ -19,16 +19,16 @@
   void Read(const store::ObjectKey& /*key*/,
             std::function<void(store::ReadAnswer)> done) {
     this->Begin();
-    this->loop.After(kTakes, [this, done] {
-      --this->under_way;
+    this->loop.After(kResponseDelay, [this, done] {
+      --this->in_flight;
       done({});
     });
   }
   void List(const std::string& /*collection*/,
             std::function<void(std::optional<store::Listing>)> done) {
     this->Begin();
-    this->loop.After(kTakes, [this, done] {
-      --this->under_way;
+    this->loop.After(kResponseDelay, [this, done] {
+      --this->in_flight;
       done(std::nullopt);
     });
   }
@@ -36,29 +36,29 @@
              std::function<void(store::WriteAnswer)> /*done*/) {}
   void Remove(const store::ObjectKey& /*key*/) {}
 
-  int MostAtOnce() const { return this->most_at_once; }
+  int MaxInFlight() const { return this->max_in_flight; }
 
  private:
-  static constexpr Duration kTakes = milliseconds(900);
+  static constexpr Duration kResponseDelay = milliseconds(900);
 
   void Begin() {
-    ++this->under_way;
-    this->most_at_once = std::max(this->most_at_once, this->under_way);
+    ++this->in_flight;
+    this->max_in_flight = std::max(this->max_in_flight, this->in_flight);
   }
 
   http::Loop& loop;
-  int under_way = 0;
-  int most_at_once = 0;
+  int in_flight = 0;
+  int max_in_flight = 0;
 };
 
 struct SlowAdapter : adapter::PlatformAdapter {
   using Store = SlowStore;
 };
 
-// Guards against an instance that asks again while the store's answer comes
-// slowly: hundreds of them that start at once then ask for more than the
-// store's link carries, and none gets an answer.
-BOOST_AUTO_TEST_CASE(ReadIsNotBegunBesideOneUnderWay) {
+// Guards against an instance that repeats a read while a slow response is still
+// arriving: when hundreds of instances start together, the repeats exceed the
+// bandwidth of the store's link, and none gets a response.
+BOOST_AUTO_TEST_CASE(NoSecondReadWhileOneIsInFlight) {
   http::Loop loop;
   SlowStore store(loop);
   InstanceState state(InstanceSettings{}, "instance");
@@ -72,7 +72,7 @@
   loop.After(milliseconds(850), [&loop] { loop.Stop(); });
   loop.Run();
   // One for the configuration, one for the list.
-  BOOST_TEST(store.MostAtOnce() == 2);
+  BOOST_TEST(store.MaxInFlight() == 2);
 }
 
 }  // namespace
--- a/unittests/daemon/parsers_test.cc
+++ b/unittests/daemon/parsers_test.cc
@@ -15,8 +15,8 @@
 
 using Json = nlohmann::json;
 
-/// Any JSON, small: what a wrong or hostile peer may send where the protocol
-/// wants something else.
+/// Generates any small JSON value: what a faulty or hostile peer may send in
+/// place of what the protocol requires.
 rc::Gen<Json> AnyJson(int depth) {
   const auto leaf = rc::gen::oneOf(
       rc::gen::construct<Json>(rc::gen::arbitrary<bool>()),
@@ -31,7 +31,7 @@
                 rc::gen::resize(4, AnyJson(depth - 1)))));
 }
 
-/// An object with some of \p names and any values.
+/// Generates an object with some of \p names and any values.
 rc::Gen<std::string> ObjectWith(std::vector<std::string> names) {
   return rc::gen::map(
       rc::gen::container<std::vector<std::pair<std::string, Json>>>(
@@ -43,11 +43,11 @@
       });
 }
 
-/// Cuts or changes a byte, so that also text which is nearly JSON is tried.
+/// May change one byte, so that text that is almost JSON is covered too.
 std::string Damage(std::string text) {
   if (text.empty() || !*rc::gen::arbitrary<bool>()) return text;
-  const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
-  text[at] = *rc::gen::arbitrary<char>();
+  const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
+  text[position] = *rc::gen::arbitrary<char>();
   return text;
 }
 
@@ -118,8 +118,8 @@
   BOOST_TEST(!parsed.has_value());
 }
 
-// A lost or wrong trace would let a token pass for which a layer ran twice
-// (I1): the engine's event must be read to the letter.
+// A lost or altered trace would let through a token for which a layer ran twice
+// (I1), so the engine's event must be read exactly.
 BOOST_AUTO_TEST_CASE(TraceIsReadInOrder) {
   const pipeline::Event event =
       ParseEngineEvent(0, R"({"request":"r","attempt":0,"index":4,"token":" a",
--- a/unittests/platform/config_report_test.cc
+++ b/unittests/platform/config_report_test.cc
@@ -14,11 +14,11 @@
 
 using transport::Exchange;
 
-// A bound for a test that fails, not a measure.
+// Ends the test if it fails; the duration is not checked.
 constexpr Duration kGiveUp = std::chrono::seconds(20);
 constexpr const char* kReportPath = "/objects/status/router.r1";
 
-/// An empty platform that gives no answer to the first report of router r1.
+/// An empty platform that fails the first report of router r1.
 class FakePlatform {
  public:
   explicit FakePlatform(transport::EventLoop& loop)
@@ -56,9 +56,9 @@
   std::unique_ptr<transport::HttpServer> server;
 };
 
-// A router reports what it has in force once, and the answer is lost, or a
-// later report overtakes it. Nothing changes afterwards; the status says for
-// good that this router is behind, and operators wait for it in vain.
+// Guards against a report that is lost, or applied after a later one, and never
+// repeated: if the generation does not change again, the status lists this
+// router as behind for good, and operators wait for it in vain.
 BOOST_AUTO_TEST_CASE(LostReportIsSentAgain) {
   transport::EventLoop loop;
   transport::HttpClient http(loop);
