--- a/include/toucanwharf/daemon/answer_admission.h
+++ b/include/toucanwharf/daemon/answer_admission.h
@@ -62,9 +62,9 @@
   void RecordEndpointFailure(const std::string& id,
                              const std::string& endpoint);
 
-  /// Records the end of answer \p id after \p tokens; \p whole is false when
+  /// Records the end of answer \p id after \p tokens; \p complete is false when
   /// it failed. Without effect when the answer is unknown.
-  void RecordEnd(const std::string& id, bool whole, std::uint32_t tokens);
+  void RecordEnd(const std::string& id, bool complete, std::uint32_t tokens);
 
   /// Drops answer \p id if it is still queued; its handlers are not called.
   /// Returns whether it was queued.
--- a/lib/daemon/answer_admission.cc
+++ b/lib/daemon/answer_admission.cc
@@ -171,7 +171,7 @@
   if (ejected) this->metrics.Count("toucanwharf_ejections_total");
 }
 
-void AnswerAdmission::RecordEnd(const std::string& id, bool whole,
+void AnswerAdmission::RecordEnd(const std::string& id, bool complete,
                                 std::uint32_t tokens) {
   const auto answer = this->offers.find(id);
   if (answer == this->offers.end()) return;
@@ -179,7 +179,8 @@
   this->offers.erase(answer);
   this->FindOrCreatePool(key).controller.Finished(
       this->loop.Now(), id,
-      whole ? admission::Outcome::kWhole : admission::Outcome::kFailed, tokens);
+      complete ? admission::Outcome::kWhole : admission::Outcome::kFailed,
+      tokens);
   this->AdmitWaiting(key);
 }
 
@@ -193,16 +194,16 @@
 }
 
 double AnswerAdmission::TrafficShareOf(const std::string& customer) {
-  double own = 0;
-  double all = 0;
+  double customer_tokens = 0;
+  double total_tokens = 0;
   for (auto& [key, pool] : this->pools) {
     for (const auto& [name, tokens] :
          pool.controller.CustomerShares().Served().served) {
-      all += tokens;
-      if (name == customer) own += tokens;
+      total_tokens += tokens;
+      if (name == customer) customer_tokens += tokens;
     }
   }
-  return all > 0 ? own / all : 0;
+  return total_tokens > 0 ? customer_tokens / total_tokens : 0;
 }
 
 AnswerAdmission::Pool& AnswerAdmission::FindOrCreatePool(const PoolKey& key) {
--- a/lib/daemon/service_runner.cc
+++ b/lib/daemon/service_runner.cc
@@ -137,7 +137,7 @@
   call->job = std::move(job);
   call->done = std::move(done);
   // A call without a caller-supplied key can't be repeated, so it needs no
-  // claim, and that it did not run is known without the platform.
+  // claim, and "not run" can be reported without asking the platform.
   const bool has_caller_key = !call->job.idempotent &&
                               call->job.idempotency_key != call->job.request_id;
   if (has_caller_key) {
