--- a/lib/control/lease.cc
+++ b/lib/control/lease.cc
@@ -116,8 +116,9 @@
   }
   // A missing object proves nothing once it was observed: the read may be
   // stale.
-  if (answer.status == store::ReadStatus::kMissing)
+  if (answer.status == store::ReadStatus::kMissing) {
     this->object_was_read = true;
+  }
 }
 
 void Lease::OnWrite(const store::WriteAnswer& answer, TimePoint now) {
--- a/lib/gossip/backup_leaders.cc
+++ b/lib/gossip/backup_leaders.cc
@@ -23,8 +23,9 @@
       const bool known = std::find(chosen.begin(), chosen.end(),
                                    candidate.address) != chosen.end();
       if (known) continue;
-      if (elsewhere && !domains.insert(candidate.failure_domain).second)
+      if (elsewhere && !domains.insert(candidate.failure_domain).second) {
         continue;
+      }
       chosen.push_back(candidate.address);
     }
   }
--- a/lib/membership/membership.cc
+++ b/lib/membership/membership.cc
@@ -54,8 +54,9 @@
 
 void Membership::DropProbesAfterPause(TimePoint now) {
   if (!this->last_tick) return;
-  if (now - *this->last_tick <= kMaxTickGapPeriods * this->settings.period)
+  if (now - *this->last_tick <= kMaxTickGapPeriods * this->settings.period) {
     return;
+  }
   // Guards against a router that was stopped, resumes, finds all its probes
   // overdue and declares healthy members suspect. Their answers may be unread
   // in its sockets. So the time of the pause doesn't count against others.
@@ -189,9 +190,10 @@
   this->view.Merge(message.sender, now);
   for (const Member& claim : message.members) {
     const bool refuted = this->view.Merge(claim, now);
-    if (refuted)
+    if (refuted) {
       this->health_penalty =
           std::min(this->health_penalty + 1, kMaxHealthPenalty);
+    }
   }
   for (const Item& item : message.items) this->view.Merge(item);
   this->compare_tables = message.digest != this->view.Digest();
--- a/lib/platform/config_service.cc
+++ b/lib/platform/config_service.cc
@@ -220,8 +220,9 @@
   }
   const auto on_events = [this, call](const WatchAnswer& answer) {
     this->mirror_call_in_flight = false;
-    if (answer.status == WatchStatus::kRevisionExpired)
+    if (answer.status == WatchStatus::kRevisionExpired) {
       this->records_mirror.OnGone();
+    }
     if (answer.status != WatchStatus::kEvents) return;
     this->records_mirror.OnEvents(call.after, answer.revision, answer.events);
   };
--- a/unittests/gossip/gossip_test.cc
+++ b/unittests/gossip/gossip_test.cc
@@ -297,8 +297,9 @@
         BOOST_REQUIRE((sent_to_backup || round % 2 == 0));
       }
       sent += chosen.size();
-      for (const std::string& address : chosen)
+      for (const std::string& address : chosen) {
         last_sent_round[address] = round;
+      }
     }
     for (const std::string& address : targets.same_domain) {
       BOOST_REQUIRE(last_sent_round.contains(address));
@@ -314,11 +315,13 @@
   std::set<std::string> receivers;
   for (std::size_t round = 0; round < 4 * targets.other_domains.size();
        ++round) {
-    for (const std::string& address : schedule.Next(targets))
+    for (const std::string& address : schedule.Next(targets)) {
       receivers.insert(address);
+    }
   }
-  for (const std::string& address : targets.other_domains)
+  for (const std::string& address : targets.other_domains) {
     BOOST_TEST(receivers.contains(address));
+  }
 }
 
 BOOST_AUTO_TEST_CASE(CoordinatorBroadcastsInEverySecondRound) {
--- a/unittests/membership/group.h
+++ b/unittests/membership/group.h
@@ -108,8 +108,9 @@
       const bool relay_reachable = this->members.contains(probe.via) &&
                                    !this->paused.contains(probe.via) &&
                                    this->connected(from, probe.via);
-      if (!relay_reachable || !this->connected(probe.via, probe.address))
+      if (!relay_reachable || !this->connected(probe.via, probe.address)) {
         return;
+      }
       this->Post(
           Packet{from, probe.address, probe.id, false, true, probe.message});
       return;
