--- a/include/toucanwharf/pipeline/answer_log.h
+++ b/include/toucanwharf/pipeline/answer_log.h
@@ -82,7 +82,7 @@
   };
   struct Ended {
     std::string request;
-    TimePoint at;
+    TimePoint end_time;
   };
 
   void AddBytes(Entry& entry, std::size_t more);
--- a/include/toucanwharf/pipeline/planner.h
+++ b/include/toucanwharf/pipeline/planner.h
@@ -130,7 +130,7 @@
                              const std::vector<Candidate>& candidates) const;
   Plan MakePlan(const PlanQuery& query,
                 const std::vector<Candidate>& stages) const;
-  Duration LinkDelay(std::size_t left, const Candidate& right) const;
+  Duration LinkDelay(std::size_t from_domain, const Candidate& to) const;
   std::size_t DomainIndex(const std::string& domain);
   void RebuildDelays();
   void AddToGroups(const Endpoint& endpoint);
--- a/include/toucanwharf/timeline/hybrid_clock.h
+++ b/include/toucanwharf/timeline/hybrid_clock.h
@@ -33,9 +33,9 @@
 
 /// Hybrid logical clock (Kulkarni et al., 2014). If one event can have caused
 /// another, and the messages between them carried stamps, its stamp is smaller,
-/// regardless of the skew between the instances' wall clocks. Used only to
-/// order events for display; no decision depends on it. Thread safety: none;
-/// one owner.
+/// regardless of the skew between the instances' wall clocks. Only orders
+/// events for display; no decision depends on it.
+/// Thread safety: none; one owner.
 class HybridClock {
  public:
   /// Returns the stamp of an event at wall clock time \p wall_millis; larger
--- a/lib/pipeline/answer_log.cc
+++ b/lib/pipeline/answer_log.cc
@@ -46,7 +46,7 @@
 void AnswerLog::Expire(TimePoint now) {
   while (!this->ended.empty()) {
     const Ended& oldest = this->ended.front();
-    if (now - oldest.at < this->limits.retention_after_end) return;
+    if (now - oldest.end_time < this->limits.retention_after_end) return;
     this->Drop(oldest.request);
     this->ended.pop_front();
   }
--- a/lib/pipeline/planner.cc
+++ b/lib/pipeline/planner.cc
@@ -162,8 +162,9 @@
   return candidate.wait + prompt + (compute + penalty) * query.output_tokens;
 }
 
-Duration PlanIndex::LinkDelay(std::size_t left, const Candidate& right) const {
-  return this->delays[left][right.endpoint->domain];
+Duration PlanIndex::LinkDelay(std::size_t from_domain,
+                              const Candidate& to) const {
+  return this->delays[from_domain][to.endpoint->domain];
 }
 
 // Dynamic programming over layer boundaries. The candidates are ordered by
--- a/lib/timeline/render.cc
+++ b/lib/timeline/render.cc
@@ -96,7 +96,7 @@
 
 /// Returns the begin or end of a request's bar. The bars are asynchronous
 /// events, because requests on one instance overlap.
-json AsyncEvent(const char* phase, const std::string& request, Stamp at,
+json AsyncEvent(const char* phase, const std::string& request, Stamp stamp,
                 int row) {
   return {{"name", "request"},
           {"cat", "request"},
@@ -104,7 +104,7 @@
           {"ph", phase},
           {"pid", kTraceProcessId},
           {"tid", row},
-          {"ts", at.millis * kMicrosPerMilli}};
+          {"ts", stamp.millis * kMicrosPerMilli}};
 }
 
 }  // namespace
--- a/unittests/pipeline/answer_state_machine_test.cc
+++ b/unittests/pipeline/answer_state_machine_test.cc
@@ -147,7 +147,7 @@
   BOOST_TEST(start.imports.size() == 2u);
 }
 
-// The process of the first stage is killed. Its kernel resets the connection
+// The instance of the first stage is killed. Its kernel resets the connection
 // and refuses the new one within a round trip; only then may the endpoint be
 // suspected.
 BOOST_AUTO_TEST_CASE(ResetThenRefusedConnectionSuspectsTheEndpoint) {
