--- a/include/toucanwharf/daemon/fleet_sync.h
+++ b/include/toucanwharf/daemon/fleet_sync.h
@@ -52,7 +52,7 @@
   void AnnounceDrain() { this->peers.Leave(); }
   /// Returns whether the router \p id must be in no advice any more.
   bool IsDeparted(const std::string& id) const {
-    return this->peers.IsGone(id);
+    return this->peers.IsDeparted(id);
   }
   /// Returns where peers reach the router that made the request id \p id, if
   /// it is another one and not known to be dead.
--- a/include/toucanwharf/eventlog/explain.h
+++ b/include/toucanwharf/eventlog/explain.h
@@ -37,7 +37,7 @@
   std::vector<LogEntry> steps;
   /// The last changes of what its instance believed before it ended, one of
   /// each kind, in order.
-  std::vector<LogEntry> beliefs;
+  std::vector<LogEntry> state_changes;
   /// The likely cause, in words.
   std::string cause;
 
--- a/include/toucanwharf/exchange/peer_exchange.h
+++ b/include/toucanwharf/exchange/peer_exchange.h
@@ -18,7 +18,7 @@
 namespace toucanwharf::exchange {
 
 /// What the daemon answers to other routers, on the loop's thread.
-struct Ports {
+struct PeerCallbacks {
   /// See peers::Handlers::config.
   std::function<std::optional<std::string>(std::uint64_t since)> config;
   /// See peers::Handlers::answer.
@@ -46,7 +46,7 @@
   /// Uses the peers' addresses, key and instance id of \p router_settings.
   /// Precondition: \p event_loop outlives the exchange.
   PeerExchange(transport::EventLoop& event_loop,
-               const settings::Settings& router_settings, Ports answered);
+               const settings::Settings& router_settings, PeerCallbacks answered);
   ~PeerExchange();
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
@@ -65,12 +65,12 @@
   std::vector<membership::Member> Present() const;
   /// Returns whether \p id said that it leaves, or is known to be dead. Of an
   /// instance never heard of, nothing is known.
-  bool IsGone(const std::string& id) const;
+  bool IsDeparted(const std::string& id) const;
   /// Returns all members' items of \p kind.
   std::vector<membership::Item> Items(membership::ItemKind kind) const;
   /// Returns whether this router is one of the \p count that watch
   /// \p endpoint, and as which (0 first); \p count if it is none.
-  std::size_t WatchPlace(const std::string& endpoint, std::size_t count) const;
+  std::size_t ObserverRank(const std::string& endpoint, std::size_t count) const;
   /// Returns the client, for configuration and answers of others.
   peers::PeerClient& Client() { return *this->client; }
   /// Returns the counts since the start.
@@ -88,7 +88,7 @@
 
   transport::EventLoop& loop;
   settings::Settings settings;
-  Ports ports;
+  PeerCallbacks callbacks;
   membership::Settings limits;
   membership::Membership members;
   Counters counters;
--- a/include/toucanwharf/http/event_splitter.h
+++ b/include/toucanwharf/http/event_splitter.h
@@ -20,12 +20,12 @@
   void Feed(std::string_view bytes) { this->pending.append(bytes); }
   /// Returns the bytes of all whole events that are pending, and drops them;
   /// empty if none is whole.
-  std::string TakeWhole();
+  std::string TakeCompleteEvents();
   /// Forgets a part of an event.
-  void DropPart() { this->pending.clear(); }
+  void DropPartialEvent() { this->pending.clear(); }
   /// Returns whether part of an event is pending.
-  bool HasPart() const { return !this->pending.empty(); }
-  /// Returns the id of the last event that TakeWhole returned.
+  bool HasPartialEvent() const { return !this->pending.empty(); }
+  /// Returns the id of the last event that TakeCompleteEvents returned.
   const std::optional<std::string>& LastId() const { return this->last_id; }
   /// Sets the id to go on from before the first event.
   void SetLastId(std::string id) { this->last_id = std::move(id); }
--- a/include/toucanwharf/http/server.h
+++ b/include/toucanwharf/http/server.h
@@ -48,12 +48,12 @@
   /// Closes the connection, so that what went out can't look complete.
   virtual void Abort() = 0;
   /// Returns whether the caller's connection is closed.
-  virtual bool Gone() const = 0;
+  virtual bool IsDisconnected() const = 0;
   /// Returns how many bytes wait for the caller to read.
-  virtual std::size_t Unsent() const = 0;
+  virtual std::size_t UnsentBytes() const = 0;
   /// Sets what to call, once, when the caller closes before the response's
   /// end. Not called after it.
-  virtual void OnGone(std::function<void()> callback) = 0;
+  virtual void OnDisconnect(std::function<void()> callback) = 0;
 };
 
 /// Listens on one address and hands requests to a handler.
--- a/include/toucanwharf/support/json.h
+++ b/include/toucanwharf/support/json.h
@@ -21,7 +21,7 @@
                                          const char* name);
 
 /// CountMember, or 0 for nothing. Thread safety: safe.
-std::uint64_t NumberMember(const nlohmann::json& object, const char* name);
+std::uint64_t CountMemberOrZero(const nlohmann::json& object, const char* name);
 
 }  // namespace toucanwharf
 
--- a/include/toucanwharf/transport/http_server.h
+++ b/include/toucanwharf/transport/http_server.h
@@ -59,7 +59,7 @@
   void End();
 
   /// Returns true once the caller's connection is known to be closed.
-  bool CallerLeft();
+  bool IsDisconnected();
 
  private:
   friend class HttpServer;
--- a/lib/command/explain_subcommand.cc
+++ b/lib/command/explain_subcommand.cc
@@ -30,14 +30,14 @@
 void Print(const Explanation& explanation, bool as_json, std::ostream& out) {
   if (as_json) {
     out << nlohmann::json{{"steps", ToJson(explanation.steps)},
-                          {"beliefs", ToJson(explanation.beliefs)},
+                          {"beliefs", ToJson(explanation.state_changes)},
                           {"cause", explanation.cause}}
                .dump()
         << "\n";
     return;
   }
   PrintEntries(out, "what happened:", explanation.steps);
-  PrintEntries(out, "what its instance believed:", explanation.beliefs);
+  PrintEntries(out, "what its instance believed:", explanation.state_changes);
   out << "likely cause: " << explanation.cause << "\n";
 }
 
--- a/lib/command/platform.cc
+++ b/lib/command/platform.cc
@@ -56,13 +56,13 @@
 
 std::uint64_t VersionOf(const std::string& body) {
   const json value = json::parse(body, nullptr, false);
-  return value.is_object() ? NumberMember(value, "version") : 0;
+  return value.is_object() ? CountMemberOrZero(value, "version") : 0;
 }
 
 store::Object ObjectOf(const json& value) {
   store::Object object;
   object.key = {TextMember(value, "collection"), TextMember(value, "name")};
-  object.version = NumberMember(value, "version");
+  object.version = CountMemberOrZero(value, "version");
   object.writer = TextMember(value, "writer");
   if (value.contains("value")) object.value = value["value"].dump();
   return object;
@@ -83,7 +83,7 @@
     const json body = json::parse(outcome.body, nullptr, false);
     if (!body.is_object() || !body.contains("items")) continue;
     store::Listing listing;
-    listing.revision = NumberMember(body, "revision");
+    listing.revision = CountMemberOrZero(body, "revision");
     for (const json& item : body["items"]) {
       listing.objects.push_back(ObjectOf(item));
     }
--- a/lib/command/record_status.cc
+++ b/lib/command/record_status.cc
@@ -27,14 +27,14 @@
   RecordStatus status;
   if (!document.is_object()) return status;
   status.state = TextMember(document, "state");
-  status.record_version = NumberMember(document, "record_version");
-  status.generation = NumberMember(document, "generation");
+  status.record_version = CountMemberOrZero(document, "record_version");
+  status.generation = CountMemberOrZero(document, "generation");
   status.behind = ListMember(document, "behind");
   status.reasons = ListMember(document, "reasons");
   const auto in_force = document.find("in_force");
   if (in_force == document.end() || !in_force->is_object()) return status;
-  status.on = NumberMember(*in_force, "on");
-  status.of = NumberMember(*in_force, "of");
+  status.on = CountMemberOrZero(*in_force, "on");
+  status.of = CountMemberOrZero(*in_force, "of");
   return status;
 }
 
--- a/lib/daemon/answer_sessions.cc
+++ b/lib/daemon/answer_sessions.cc
@@ -253,7 +253,7 @@
 
 void AnswerSessions::DropLeft(Session& session, TimePoint now) {
   std::erase_if(session.readers,
-                [](const auto& reader) { return reader->CallerLeft(); });
+                [](const auto& reader) { return reader->IsDisconnected(); });
   if (!session.readers.empty() || session.unread_since) return;
   session.unread_since = now;
 }
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -14,11 +14,11 @@
 constexpr Duration kPeriod = std::chrono::seconds(1);
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
-exchange::Ports PortsOf(const ConfigCallbacks& config, AnswerSender answers) {
-  exchange::Ports ports;
-  ports.config = config.update_for;
-  ports.answer = std::move(answers);
-  return ports;
+exchange::PeerCallbacks MakePeerCallbacks(const ConfigCallbacks& config, AnswerSender answers) {
+  exchange::PeerCallbacks callbacks;
+  callbacks.config = config.update_for;
+  callbacks.answer = std::move(answers);
+  return callbacks;
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
       metrics(metrics),
       config(std::move(config)),
       random(seed),
-      peers(loop, settings, PortsOf(this->config, std::move(answers))) {}
+      peers(loop, settings, MakePeerCallbacks(this->config, std::move(answers))) {}
 
 Result<void> FleetSync::Start() {
   BOOST_OUTCOME_TRY(this->peers.Start());
--- a/lib/eventlog/explain.cc
+++ b/lib/eventlog/explain.cc
@@ -92,10 +92,10 @@
     if (entry.at <= last.at) newest.insert_or_assign(entry.event, entry);
   }
   for (const auto& [event, entry] : newest) {
-    explanation.beliefs.push_back(entry);
+    explanation.state_changes.push_back(entry);
   }
   std::stable_sort(
-      explanation.beliefs.begin(), explanation.beliefs.end(),
+      explanation.state_changes.begin(), explanation.state_changes.end(),
       [](const LogEntry& one, const LogEntry& two) { return one.at < two.at; });
   std::string why;
   for (const LogEntry& step : explanation.steps) {
--- a/lib/exchange/peer_exchange.cc
+++ b/lib/exchange/peer_exchange.cc
@@ -45,10 +45,10 @@
 
 PeerExchange::PeerExchange(transport::EventLoop& event_loop,
                            const settings::Settings& router_settings,
-                           Ports answered)
+                           PeerCallbacks answered)
     : loop(event_loop),
       settings(router_settings),
-      ports(std::move(answered)),
+      callbacks(std::move(answered)),
       members(limits, OwnEntry(router_settings), SeedOf(router_settings)),
       post([&event_loop, guard = std::weak_ptr<bool>(this->alive)](
                std::function<void()> task) {
@@ -84,8 +84,8 @@
                             const peers::PeerClient::OnMessage& done) {
     this->PassOn(address, message, done);
   };
-  handlers.config = this->ports.config;
-  handlers.answer = this->ports.answer;
+  handlers.config = this->callbacks.config;
+  handlers.answer = this->callbacks.answer;
   return handlers;
 }
 
@@ -150,7 +150,7 @@
   return this->members.Present();
 }
 
-bool PeerExchange::IsGone(const std::string& id) const {
+bool PeerExchange::IsDeparted(const std::string& id) const {
   const membership::Member* member = this->members.CurrentView().Find(id);
   if (member == nullptr) return false;
   return member->leaving || member->status == membership::Status::kDead;
@@ -161,7 +161,7 @@
   return this->members.CurrentView().Items(kind);
 }
 
-std::size_t PeerExchange::WatchPlace(const std::string& endpoint,
+std::size_t PeerExchange::ObserverRank(const std::string& endpoint,
                                      std::size_t count) const {
   const auto watchers =
       membership::WatchersOf(endpoint, this->members.Present(), count);
--- a/lib/gossip/beacon.cc
+++ b/lib/gossip/beacon.cc
@@ -130,9 +130,9 @@
   beacon.ready = json.at("r").get<bool>();
   beacon.stopping = json.at("s").get<bool>();
   beacon.leads = json.at("l").get<bool>();
-  beacon.configuration_revision = NumberMember(json, "v");
+  beacon.configuration_revision = CountMemberOrZero(json, "v");
   beacon.configuration_age = AgeFromJson(json.at("va"));
-  beacon.endpoints_revision = NumberMember(json, "e");
+  beacon.endpoints_revision = CountMemberOrZero(json, "e");
   beacon.endpoints_age = AgeFromJson(json.at("ea"));
   beacon.stamp = json.at("t").get<std::int64_t>();
   beacon.loads = LoadsFromJson(json.at("o"));
@@ -229,7 +229,7 @@
   try {
     const Json trailer = Json::from_cbor(bytes.substr(common), true, false);
     const Json json = Json::from_cbor(bytes.substr(0, common), true, false);
-    if (!json.is_object() || NumberMember(json, "format") != kFormat) {
+    if (!json.is_object() || CountMemberOrZero(json, "format") != kFormat) {
       return std::nullopt;
     }
     Beacon beacon = FromJson(json);
--- a/lib/http/event_splitter.cc
+++ b/lib/http/event_splitter.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::string EventSplitter::TakeWhole() {
+std::string EventSplitter::TakeCompleteEvents() {
   const std::size_t end = EndOfWhole(this->pending);
   std::string whole = this->pending.substr(0, end);
   this->pending.erase(0, end);
--- a/lib/http/server.cc
+++ b/lib/http/server.cc
@@ -158,7 +158,7 @@
   }
 
   bool Closed() const { return this->closed; }
-  std::size_t Unsent() const { return this->unsent.size(); }
+  std::size_t UnsentBytes() const { return this->unsent.size(); }
   void SetOnGone(std::function<void()> callback) {
     this->on_gone = std::move(callback);
   }
@@ -399,9 +399,9 @@
     this->connection->SetOnGone(nullptr);
     this->connection->Close();
   }
-  bool Gone() const override { return this->connection->Closed(); }
-  std::size_t Unsent() const override { return this->connection->Unsent(); }
-  void OnGone(std::function<void()> callback) override {
+  bool IsDisconnected() const override { return this->connection->Closed(); }
+  std::size_t UnsentBytes() const override { return this->connection->UnsentBytes(); }
+  void OnDisconnect(std::function<void()> callback) override {
     if (!this->done) this->connection->SetOnGone(std::move(callback));
   }
 
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -95,7 +95,7 @@
   }
   for (Early& one : std::exchange(this->early, {})) {
     this->start_wait.Leave(one.bytes);
-    if (one.exchange->Gone()) {
+    if (one.exchange->IsDisconnected()) {
       ++this->counters.caller_disconnected;
       continue;
     }
--- a/lib/instance/proxied_request.cc
+++ b/lib/instance/proxied_request.cc
@@ -82,7 +82,7 @@
 }
 
 void ProxiedRequest::Start() {
-  this->exchange->OnGone(
+  this->exchange->OnDisconnect(
       [self = this->shared_from_this()] { self->OnCallerGone(); });
   const TimePoint now = this->gateway.loop.Now();
   this->deadline_timer = this->gateway.loop.After(
@@ -144,7 +144,7 @@
   this->head_good = false;
   this->head_verdict.reset();
   this->body.clear();
-  this->events.DropPart();
+  this->events.DropPartialEvent();
   this->try_began = this->gateway.loop.Now();
   this->last_data = this->try_began;
   this->pace.Restart();
@@ -236,7 +236,7 @@
     return;
   }
   this->events.Feed(bytes);
-  const std::string whole = this->events.TakeWhole();
+  const std::string whole = this->events.TakeCompleteEvents();
   if (whole.empty()) return;
   if (!std::exchange(this->any_event, true)) {
     this->first_event_after = this->last_data - this->what.arrived;
@@ -277,7 +277,7 @@
     this->FinishPlain();
     return;
   }
-  if (this->IsStream() && this->events.HasPart()) {
+  if (this->IsStream() && this->events.HasPartialEvent()) {
     this->EndTry(AttemptOutcome::kUnknown, "ended_inside_event");
     return;
   }
@@ -475,7 +475,7 @@
   this->ReleaseLoad();
   this->gateway.loop.Cancel(this->deadline_timer);
   this->gateway.loop.Cancel(this->silence_timer);
-  this->exchange->OnGone(nullptr);
+  this->exchange->OnDisconnect(nullptr);
   const Level level = outcome == "answered" ? Level::kRoutine : Level::kNotable;
   this->Log(
       level, "finished",
--- a/lib/instance/snapshot_exchange.cc
+++ b/lib/instance/snapshot_exchange.cc
@@ -274,7 +274,7 @@
 
 bool SnapshotExchange::Busy() {
   std::erase_if(this->handing_out, [](const auto& one) {
-    return one->Gone() || one->Unsent() == 0;
+    return one->IsDisconnected() || one->UnsentBytes() == 0;
   });
   return this->handing_out.size() >= kHandedOutAtOnce;
 }
--- a/lib/platform/client.cc
+++ b/lib/platform/client.cc
@@ -34,7 +34,7 @@
 store::Object ToObject(const Json& json) {
   store::Object object;
   object.key = {TextMember(json, "collection"), TextMember(json, "name")};
-  object.version = NumberMember(json, "version");
+  object.version = CountMemberOrZero(json, "version");
   object.writer = TextMember(json, "writer");
   if (json.contains("value")) object.value = json["value"].dump();
   return object;
@@ -51,7 +51,7 @@
 store::WriteAnswer ToWriteAnswer(const HttpOutcome& outcome) {
   const Json body = Body(outcome);
   if (!body.is_object()) return {};
-  const std::uint64_t version = NumberMember(body, "version");
+  const std::uint64_t version = CountMemberOrZero(body, "version");
   if (outcome.status == kOk) return {store::WriteStatus::kWritten, version};
   if (outcome.status != kConflict) return {};
   return {store::WriteStatus::kConflict, version};
@@ -69,7 +69,7 @@
                      body.contains("events") && body["events"].is_array();
   if (!whole) return answer;
   answer.status = WatchStatus::kEvents;
-  answer.reached = NumberMember(body, "revision");
+  answer.reached = CountMemberOrZero(body, "revision");
   for (const Json& event : body["events"]) {
     if (!event.is_object() || !event.contains("object")) continue;
     answer.events.push_back(store::Event{TextMember(event, "type") == "delete",
@@ -83,7 +83,7 @@
   const bool whole = outcome.status == kOk && body.is_object() &&
                      body.contains("items") && body["items"].is_array();
   if (!whole) return std::nullopt;
-  store::Listing listing{NumberMember(body, "revision"), {}};
+  store::Listing listing{CountMemberOrZero(body, "revision"), {}};
   for (const Json& item : body["items"]) {
     if (item.is_object()) listing.objects.push_back(ToObject(item));
   }
--- a/lib/transport/http_server.cc
+++ b/lib/transport/http_server.cc
@@ -54,7 +54,7 @@
   this->Resume();
 }
 
-bool Exchange::CallerLeft() {
+bool Exchange::IsDisconnected() {
   const std::lock_guard lock(this->mutex);
   if (this->left) return true;
   // libmicrohttpd does not look at a suspended connection, so its end is
--- a/standins/fleet/endpoints.cc
+++ b/standins/fleet/endpoints.cc
@@ -286,7 +286,7 @@
   auto stream = std::make_shared<Stream>(
       Stream{endpoint.spec.id, run.request_id, path, exchange, last + 1});
   this->streams.insert(stream);
-  exchange->OnGone([this, weak = std::weak_ptr<Stream>(stream)] {
+  exchange->OnDisconnect([this, weak = std::weak_ptr<Stream>(stream)] {
     if (const auto gone = weak.lock()) this->streams.erase(gone);
   });
   exchange->Begin(head);
--- a/unittests/eventlog/explain_test.cc
+++ b/unittests/eventlog/explain_test.cc
@@ -37,9 +37,9 @@
                "no line of this log"}),
       "r-1");
   BOOST_REQUIRE(explanation.steps.size() == 1U);
-  BOOST_REQUIRE(explanation.beliefs.size() == 2U);
-  BOOST_TEST(explanation.beliefs[0].event == "configuration_in_force");
-  BOOST_TEST(explanation.beliefs[1].event == "store_lost");
+  BOOST_REQUIRE(explanation.state_changes.size() == 2U);
+  BOOST_TEST(explanation.state_changes[0].event == "configuration_in_force");
+  BOOST_TEST(explanation.state_changes[1].event == "store_lost");
   BOOST_TEST(explanation.cause.find("bound of revocation") !=
              std::string::npos);
 }
--- a/unittests/exchange/peer_exchange_test.cc
+++ b/unittests/exchange/peer_exchange_test.cc
@@ -29,7 +29,7 @@
       settings.peer_key = "key";
       seeds.push_back({settings.instance, settings.listen.peers});
       this->routers.push_back(
-          std::make_unique<PeerExchange>(this->loop, settings, Ports{}));
+          std::make_unique<PeerExchange>(this->loop, settings, PeerCallbacks{}));
     }
     for (const auto& router : this->routers) {
       BOOST_REQUIRE(router->Start().has_value());
@@ -67,7 +67,7 @@
   BOOST_TEST(items.front().value == "5");
   BOOST_TEST(this->routers[2]->Counts().bytes_received > 0u);
   // A leaving router watches nothing any more.
-  BOOST_TEST(this->routers[1]->WatchPlace("e1", 2) == 2u);
+  BOOST_TEST(this->routers[1]->ObserverRank("e1", 2) == 2u);
 }
 
 }  // namespace
--- a/unittests/http/http_test.cc
+++ b/unittests/http/http_test.cc
@@ -307,7 +307,7 @@
   std::promise<void> gone;
   std::vector<std::shared_ptr<Exchange>> held;
   ServerThread server([&](std::shared_ptr<Exchange> exchange) {
-    exchange->OnGone([&] { gone.set_value(); });
+    exchange->OnDisconnect([&] { gone.set_value(); });
     held.push_back(std::move(exchange));
   });
   {
@@ -433,19 +433,19 @@
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
     EventSplitter splitter;
     splitter.Feed(text.substr(0, cut));
-    std::string out = splitter.TakeWhole();
+    std::string out = splitter.TakeCompleteEvents();
     splitter.Feed(text.substr(cut));
-    out += splitter.TakeWhole();
+    out += splitter.TakeCompleteEvents();
     BOOST_REQUIRE(out == text);
     BOOST_REQUIRE(splitter.LastId() == "2");
   }
   EventSplitter splitter;
   splitter.Feed("id: 1\ndata: a\n\nid: 2\nda");
-  BOOST_TEST(splitter.TakeWhole() == "id: 1\ndata: a\n\n");
-  BOOST_TEST(splitter.HasPart());
+  BOOST_TEST(splitter.TakeCompleteEvents() == "id: 1\ndata: a\n\n");
+  BOOST_TEST(splitter.HasPartialEvent());
   BOOST_TEST(*splitter.LastId() == "1");
-  splitter.DropPart();
-  BOOST_TEST(!splitter.HasPart());
+  splitter.DropPartialEvent();
+  BOOST_TEST(!splitter.HasPartialEvent());
 }
 
 /// Writes a byte of the body each 50 ms, twelve of them.
--- a/unittests/transport/http_test.cc
+++ b/unittests/transport/http_test.cc
@@ -142,9 +142,9 @@
                              {nullptr, [](const HttpOutcome& /*outcome*/) {}});
   });
   const std::shared_ptr<Exchange> exchange = taken.get_future().get();
-  BOOST_TEST(!exchange->CallerLeft());
+  BOOST_TEST(!exchange->IsDisconnected());
   client.loop.Post([&] { client.client.Cancel(id); });
-  while (!exchange->CallerLeft()) std::this_thread::yield();
+  while (!exchange->IsDisconnected()) std::this_thread::yield();
   exchange->Respond(200, {}, "late");
 }
 
