--- a/include/toucanwharf/daemon/fleet_sync.h
+++ b/include/toucanwharf/daemon/fleet_sync.h
@@ -57,7 +57,7 @@
   /// Returns whether the router \p id left or failed, so that entry advice must
   /// not name it.
   bool IsDeparted(const std::string& id) const {
-    return this->peers.IsGone(id);
+    return this->peers.IsDeparted(id);
   }
   /// Returns the peer address of the router that issued the request id \p id,
   /// if it is another router that is not known to have failed.
--- a/lib/daemon/answer_sessions.cc
+++ b/lib/daemon/answer_sessions.cc
@@ -254,7 +254,7 @@
 
 void AnswerSessions::DropDisconnectedReaders(Session& session, TimePoint now) {
   std::erase_if(session.readers,
-                [](const auto& reader) { return reader->CallerLeft(); });
+                [](const auto& reader) { return reader->IsDisconnected(); });
   if (!session.readers.empty() || session.unread_since) return;
   session.unread_since = now;
 }
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -15,12 +15,12 @@
 constexpr Duration kSyncPeriod = std::chrono::seconds(1);
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
-exchange::Ports PeerPortsOf(const ConfigCallbacks& config,
+exchange::PeerCallbacks MakePeerCallbacks(const ConfigCallbacks& config,
                             AnswerSender answer_sender) {
-  exchange::Ports ports;
-  ports.config = config.update_for;
-  ports.answer = std::move(answer_sender);
-  return ports;
+  exchange::PeerCallbacks callbacks;
+  callbacks.config = config.update_for;
+  callbacks.answer = std::move(answer_sender);
+  return callbacks;
 }
 
 }  // namespace
@@ -37,7 +37,7 @@
       config(std::move(config)),
       random(seed),
       peers(loop, settings,
-            PeerPortsOf(this->config, std::move(answer_sender))) {}
+            MakePeerCallbacks(this->config, std::move(answer_sender))) {}
 
 Result<void> FleetSync::Start() {
   BOOST_OUTCOME_TRY(this->peers.Start());
--- a/lib/instance/gateway.cc
+++ b/lib/instance/gateway.cc
@@ -97,7 +97,7 @@
   }
   for (EarlyRequest& waiting : std::exchange(this->early_requests, {})) {
     this->startup_wait.Leave(waiting.bytes);
-    if (waiting.exchange->Gone()) {
+    if (waiting.exchange->IsDisconnected()) {
       ++this->counters.caller_disconnected;
       continue;
     }
--- a/lib/instance/proxied_request.cc
+++ b/lib/instance/proxied_request.cc
@@ -82,7 +82,7 @@
 }
 
 void ProxiedRequest::Start() {
-  this->exchange->OnGone(
+  this->exchange->OnDisconnect(
       [self = this->shared_from_this()] { self->OnCallerDisconnected(); });
   const TimePoint now = this->gateway.loop.Now();
   this->deadline_timer = this->gateway.loop.After(
@@ -145,7 +145,7 @@
   this->head_usable = false;
   this->head_outcome.reset();
   this->body.clear();
-  this->events.DropPart();
+  this->events.DropPartialEvent();
   this->attempt_started = this->gateway.loop.Now();
   this->last_data = this->attempt_started;
   this->detector.Restart();
@@ -237,7 +237,7 @@
     return;
   }
   this->events.Feed(bytes);
-  const std::string complete = this->events.TakeWhole();
+  const std::string complete = this->events.TakeCompleteEvents();
   if (complete.empty()) return;
   if (!std::exchange(this->has_event, true)) {
     this->first_event_after = this->last_data - this->admitted.arrived;
@@ -278,7 +278,7 @@
     this->FinishPlain();
     return;
   }
-  if (this->IsStream() && this->events.HasPart()) {
+  if (this->IsStream() && this->events.HasPartialEvent()) {
     this->EndAttempt(AttemptOutcome::kUnknown, "ended_inside_event");
     return;
   }
@@ -480,7 +480,7 @@
   this->ReleaseLoad();
   this->gateway.loop.Cancel(this->deadline_timer);
   this->gateway.loop.Cancel(this->stall_timer);
-  this->exchange->OnGone(nullptr);
+  this->exchange->OnDisconnect(nullptr);
   const Level level = outcome == "answered" ? Level::kRoutine : Level::kNotable;
   this->Log(level, "finished",
             Fields()
--- a/lib/instance/snapshot_exchange.cc
+++ b/lib/instance/snapshot_exchange.cc
@@ -281,7 +281,7 @@
 
 bool SnapshotExchange::AtSendLimit() {
   std::erase_if(this->being_sent, [](const auto& exchange) {
-    return exchange->Gone() || exchange->Unsent() == 0;
+    return exchange->IsDisconnected() || exchange->UnsentBytes() == 0;
   });
   return this->being_sent.size() >= kMaxConcurrentSends;
 }
