--- a/unittests/control/config_test.cc
+++ b/unittests/control/config_test.cc
@@ -187,15 +187,15 @@
     if (step % 60 == 1) {
       fleet.map.Delete({"records", "n" + std::to_string(detail % 5)});
     }
-    if (step % 20 == 2) fleet.map.Land();
+    if (step % 20 == 2) fleet.map.ApplyLateWrites();
     if (step % 200 == 3) fleet.now = fleet.now + 7000 * kMilli;
     fleet.now = fleet.now + 20 * kMilli;
     const std::uint32_t kind = detail / 12 % 12;
     const auto fault =
-        kind < fakes::kFaults ? static_cast<Fault>(kind) : Fault::kNone;
+        kind < fakes::kFaultCount ? static_cast<Fault>(kind) : Fault::kNone;
     fleet.Step(step % 3, detail % 4, fault);
   }
-  fleet.map.Land();
+  fleet.map.ApplyLateWrites();
   fleet.Settle();
   const auto wanted = Wanted(fleet.map);
   for (const Instance& instance : fleet.instances) {
--- a/unittests/control/lease_test.cc
+++ b/unittests/control/lease_test.cc
@@ -84,11 +84,11 @@
       4.0, rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 3000)));
   for (const int step : steps) {
     now = now + Duration(std::chrono::milliseconds(step / 15 * 5));
-    if (step % 11 == 0) map.Land();
+    if (step % 11 == 0) map.ApplyLateWrites();
     // Steps of the other processes are a pause of this one.
     const int kind = step / 3 % 10;
     const auto fault =
-        kind < fakes::kFaults ? static_cast<Fault>(kind) : Fault::kNone;
+        kind < fakes::kFaultCount ? static_cast<Fault>(kind) : Fault::kNone;
     TakeStep(actors[static_cast<std::size_t>(step % 3)], map, now, fault);
     CheckHolders(actors, now, terms);
   }
--- a/unittests/fakes/object_map.h
+++ b/unittests/fakes/object_map.h
@@ -12,11 +12,11 @@
 
 /// What may go wrong with one call.
 enum class Fault { kNone, kOutage, kAnswerLost, kStale, kLate };
-inline constexpr int kFaults = 5;
+inline constexpr int kFaultCount = 5;
 
 /// The platform's object API as a map with versions. It keeps the version
 /// before the last, so that a read can be stale, and holds late writes back
-/// until Land().
+/// until ApplyLateWrites().
 class ObjectMap {
  public:
   store::WriteAnswer Write(const store::Write& write, Fault fault) {
@@ -60,12 +60,12 @@
   }
 
   /// Lets writes that were held back arrive now, oldest first.
-  void Land() {
+  void ApplyLateWrites() {
     for (const store::Write& write : this->late) this->Put(write);
     this->late.clear();
   }
 
-  std::uint64_t WritesTaken() const { return this->writes_taken; }
+  std::uint64_t WritesApplied() const { return this->writes_taken; }
 
  private:
   static store::ReadAnswer Missing() {
--- a/unittests/once/shard_test.cc
+++ b/unittests/once/shard_test.cc
@@ -139,7 +139,7 @@
   const std::uint32_t detail = step / 48;
   if (action == 0) {
     world.wall += detail % 30;
-    world.map.Land();
+    world.map.ApplyLateWrites();
   } else if (action == 1 && detail % 4 == 0) {
     world.Replace(index);
   } else if (action <= 3) {
@@ -151,7 +151,7 @@
     world.now = world.now + kMilli * (detail % 40);
     const std::uint32_t kind = detail % 12;
     const auto fault =
-        kind < fakes::kFaults ? static_cast<Fault>(kind) : Fault::kNone;
+        kind < fakes::kFaultCount ? static_cast<Fault>(kind) : Fault::kNone;
     world.Step(index, fault);
   }
 }
@@ -166,7 +166,7 @@
       *rc::gen::scale(12.0, rc::gen::container<std::vector<std::uint32_t>>(
                                 rc::gen::inRange<std::uint32_t>(0, 48 * 840)));
   for (const std::uint32_t step : steps) PlayStep(world, step);
-  world.map.Land();
+  world.map.ApplyLateWrites();
   world.Settle();
   for (std::size_t index = 0; index < world.routers.size(); ++index) {
     while (!world.routers[index].granted.empty()) {
@@ -302,7 +302,7 @@
   for (std::uint64_t key = 1000; key < 1100; ++key) world.Claim(0, key);
   world.Settle();
   BOOST_TEST(world.verdicts.size() == 100u);
-  BOOST_TEST(world.map.WritesTaken() <= 4u);
+  BOOST_TEST(world.map.WritesApplied() <= 4u);
 }
 
 }  // namespace
--- a/unittests/store/conditional_write_test.cc
+++ b/unittests/store/conditional_write_test.cc
@@ -43,11 +43,11 @@
   const auto steps =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400));
   for (const int step : steps) {
-    if (step % 7 == 0) map.Land();
-    const auto fault = static_cast<Fault>(step / 3 % fakes::kFaults);
+    if (step % 7 == 0) map.ApplyLateWrites();
+    const auto fault = static_cast<Fault>(step / 3 % fakes::kFaultCount);
     TakeStep(writes[static_cast<std::size_t>(step % 3)], map, fault);
   }
-  map.Land();
+  map.ApplyLateWrites();
   std::string winner;
   for (ConditionalWrite& write : writes) {
     Finish(write, map);
@@ -70,7 +70,7 @@
   BOOST_TEST((write.Next() == ConditionalWrite::Step::kRead));
   TakeStep(write, map, Fault::kNone);
   BOOST_TEST((write.Next() == ConditionalWrite::Step::kApplied));
-  BOOST_TEST(map.WritesTaken() == 1u);
+  BOOST_TEST(map.WritesApplied() == 1u);
 }
 
 // The write lost against a newer change, and the read that should show the
