--- a/include/toucanwharf/exchange/peer_exchange.h
+++ b/include/toucanwharf/exchange/peer_exchange.h
@@ -46,7 +46,8 @@
   /// Uses the peers' addresses, key and instance id of \p router_settings.
   /// Precondition: \p event_loop outlives the exchange.
   PeerExchange(transport::EventLoop& event_loop,
-               const settings::Settings& router_settings, PeerCallbacks answered);
+               const settings::Settings& router_settings,
+               PeerCallbacks answered);
   ~PeerExchange();
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
@@ -70,7 +71,8 @@
   std::vector<membership::Item> Items(membership::ItemKind kind) const;
   /// Returns whether this router is one of the \p count that watch
   /// \p endpoint, and as which (0 first); \p count if it is none.
-  std::size_t ObserverRank(const std::string& endpoint, std::size_t count) const;
+  std::size_t ObserverRank(const std::string& endpoint,
+                           std::size_t count) const;
   /// Returns the client, for configuration and answers of others.
   peers::PeerClient& Client() { return *this->client; }
   /// Returns the counts since the start.
--- a/lib/daemon/fleet_sync.cc
+++ b/lib/daemon/fleet_sync.cc
@@ -16,7 +16,7 @@
 constexpr Duration kFetchTimeout = std::chrono::seconds(2);
 
 exchange::PeerCallbacks MakePeerCallbacks(const ConfigCallbacks& config,
-                            AnswerSender answer_sender) {
+                                          AnswerSender answer_sender) {
   exchange::PeerCallbacks callbacks;
   callbacks.config = config.update_for;
   callbacks.answer = std::move(answer_sender);
--- a/lib/exchange/peer_exchange.cc
+++ b/lib/exchange/peer_exchange.cc
@@ -162,7 +162,7 @@
 }
 
 std::size_t PeerExchange::ObserverRank(const std::string& endpoint,
-                                     std::size_t count) const {
+                                       std::size_t count) const {
   const auto watchers =
       membership::WatchersOf(endpoint, this->members.Present(), count);
   const auto mine =
--- a/lib/http/server.cc
+++ b/lib/http/server.cc
@@ -400,7 +400,9 @@
     this->connection->Close();
   }
   bool IsDisconnected() const override { return this->connection->Closed(); }
-  std::size_t UnsentBytes() const override { return this->connection->UnsentBytes(); }
+  std::size_t UnsentBytes() const override {
+    return this->connection->UnsentBytes();
+  }
   void OnDisconnect(std::function<void()> callback) override {
     if (!this->done) this->connection->SetOnGone(std::move(callback));
   }
--- a/lib/timeline/codec.cc
+++ b/lib/timeline/codec.cc
@@ -48,7 +48,8 @@
   details.record = TextMember(value, "record");
   details.endpoint = TextMember(value, "endpoint");
   details.reason = TextMember(value, "reason");
-  details.attempt = static_cast<std::uint32_t>(CountMemberOrZero(value, "attempt"));
+  details.attempt =
+      static_cast<std::uint32_t>(CountMemberOrZero(value, "attempt"));
   return Event{CountMemberOrZero(value, "sequence"), *stamp,
                CountMemberOrZero(value, "wall_ms"), std::move(details)};
 }
@@ -79,7 +80,8 @@
   const auto events = value.find("events");
   const bool has_events = events != value.end() && events->is_array();
   if (!has_events) return TimelineError::kMalformedPage;
-  Page page{TextMember(value, "instance"), CountMemberOrZero(value, "dropped"), {}};
+  Page page{
+      TextMember(value, "instance"), CountMemberOrZero(value, "dropped"), {}};
   for (const json& item : *events) {
     auto event = ReadEvent(item);
     if (event) page.events.push_back(std::move(*event));
--- a/unittests/exchange/peer_exchange_test.cc
+++ b/unittests/exchange/peer_exchange_test.cc
@@ -28,8 +28,8 @@
       settings.advertise.peers = settings.listen.peers;
       settings.peer_key = "key";
       seeds.push_back({settings.instance, settings.listen.peers});
-      this->routers.push_back(
-          std::make_unique<PeerExchange>(this->loop, settings, PeerCallbacks{}));
+      this->routers.push_back(std::make_unique<PeerExchange>(
+          this->loop, settings, PeerCallbacks{}));
     }
     for (const auto& router : this->routers) {
       BOOST_REQUIRE(router->Start().has_value());
