--- a/include/toucanwharf/command/answer_session.h
+++ b/include/toucanwharf/command/answer_session.h
@@ -12,9 +12,10 @@
 
 namespace toucanwharf::command {
 
-/// A streamed model answer that a caller wants.
+/// A request for a streamed model answer.
 struct AnswerQuery {
-  /// Whether messages (`/v1/chat/completions`) or a prompt goes out.
+  /// Whether to send chat messages (`/v1/chat/completions`) or a plain prompt
+  /// (`/v1/completions`).
   bool chat = true;
   std::string model;
   std::string prompt;
@@ -24,21 +25,22 @@
   friend bool operator==(const AnswerQuery&, const AnswerQuery&) = default;
 };
 
-/// Why there is no whole answer.
+/// Why an answer is incomplete or missing.
 struct AnswerFailure {
   int status = 0;
   std::string message;
-  /// "no", "unknown" or "partly"; empty when nobody said.
+  /// Whether the request ran: "no", "unknown" or "partly"; empty if not
+  /// reported.
   std::string ran;
-  /// Seconds after which to come back; 0 when nobody said.
+  /// Seconds to wait before a retry; 0 if not reported.
   std::uint64_t retry_after_s = 0;
 
   friend bool operator==(const AnswerFailure&, const AnswerFailure&) = default;
 };
 
-/// What the caller has to do next.
+/// The next action of the caller: send the request, resume the answer, or stop.
 struct AnswerStep {
-  enum class Kind { kAsk, kResume, kEnd };
+  enum class Kind { kRequest, kResume, kEnd };
 
   Kind kind = Kind::kEnd;
   std::string entry;
@@ -46,51 +48,51 @@
   friend bool operator==(const AnswerStep&, const AnswerStep&) = default;
 };
 
-/// One streamed answer over all the connections that it takes.
+/// State machine of one streamed answer, across all connections that it needs.
 ///
-/// Failure guarded against: the entry instance dies or its connection goes
-/// silent while tokens stream. A caller that takes the end of the connection
-/// for the end of the answer shows half an answer as a whole one; one that
-/// asks anew and appends shows words twice. The guard: the answer is whole
-/// only after its final event; before that the answer is resumed by its id
-/// from the other entry instances, from the first token that is missing; if
-/// none of them knows it, it is asked for anew with the same seed, which model
-/// work allows. Tokens are placed by their index, and one that comes twice has
-/// to be the same (I2).
+/// Guards against an entry instance that dies, or whose connection stalls,
+/// while tokens stream. A caller that treats the end of the connection as the
+/// end of the answer shows a partial answer as complete; one that repeats the
+/// request and appends the tokens shows some of them twice. The session
+/// therefore treats an answer as complete only after its final event. Until
+/// then it resumes the answer by its id at the other entry instances, from the
+/// first missing token. If none of them knows the id, it repeats the request
+/// with the same seed, which is safe for model work. Tokens are placed by
+/// index, and a repeated token must equal the first one (I2).
 ///
 /// Thread safety: none; no I/O.
 class AnswerSession {
  public:
-  enum class State { kRunning, kWhole, kRefused, kBroken };
+  enum class State { kRunning, kComplete, kRefused, kFailed };
 
-  /// Preconditions: \p entries is not empty; its order is the order of trial.
+  /// Precondition: \p entries is not empty; they are tried in this order.
   AnswerSession(AnswerQuery query, std::vector<std::string> entries);
 
-  /// Returns the call to make now; the same until OnEnd.
+  /// Returns the call to make now; unchanged until OnEnd.
   const AnswerStep& Next() const { return this->step; }
   /// Returns Next() as an HTTP call with \p key as bearer key.
   /// Precondition: Next() is not kEnd.
   transport::HttpCall Call(std::string_view key) const;
 
-  /// Takes body bytes of the call and returns how many tokens they added.
+  /// Processes body bytes of the call; returns how many tokens they added.
   std::size_t OnBytes(std::string_view bytes);
-  /// Takes the end of the call; Next() tells what follows.
+  /// Processes the end of the call and updates Next().
   void OnEnd(const transport::HttpOutcome& outcome);
 
   State Status() const { return this->state; }
   const std::vector<std::string>& Tokens() const { return this->tokens; }
   /// Returns the request id of the last call, empty before its first event.
   const std::string& Id() const { return this->id; }
-  /// Returns why Status() is kRefused or kBroken.
+  /// Returns why Status() is kRefused or kFailed.
   const AnswerFailure& Failure() const { return this->failure; }
   /// Returns how many connections were lost after the call had been sent.
   std::uint32_t Interruptions() const { return this->interruptions; }
 
  private:
-  void TakeEvent(const std::string& data);
-  void TakeToken(std::uint64_t index, std::string text);
-  void TakeRefusal(const transport::HttpOutcome& outcome);
-  void GoOn();
+  void ProcessEvent(const std::string& data);
+  void AddToken(std::uint64_t index, std::string text);
+  void HandleRefusal(const transport::HttpOutcome& outcome);
+  void ChooseNextStep();
   void Finish(State end);
   std::string NextEntry() const;
 
@@ -102,7 +104,7 @@
   std::vector<std::string> tokens;
   std::string id;
   AnswerFailure failure;
-  std::set<std::string> asked_to_resume;
+  std::set<std::string> resume_attempted_at;
   bool complete = false;
   bool failed = false;
   std::uint32_t interruptions = 0;
--- a/include/toucanwharf/command/arguments.h
+++ b/include/toucanwharf/command/arguments.h
@@ -17,29 +17,30 @@
 
 namespace toucanwharf::command {
 
-/// Where a subcommand writes: results to out, progress and errors to err.
+/// Output streams of a subcommand: results go to out, progress and errors to
+/// err.
 struct Streams {
   std::ostream& out;
   std::ostream& err;
 };
 
-/// The arguments of one subcommand, read.
-/// Thread safety: safe once made.
+/// The parsed arguments of one subcommand.
+/// Thread safety: safe after construction.
 class Arguments {
  public:
   /// Precondition: \p options outlives the object.
   explicit Arguments(const cxxopts::ParseResult& options) : parsed(options) {}
 
-  /// Returns an option's text; without it the environment variable
-  /// TOUCANWHARF_{NAME}, without that the default.
+  /// Returns an option's text; if it is not given, the environment variable
+  /// TOUCANWHARF_{NAME}, and without that the default.
   std::string Text(const std::string& name) const;
-  /// Returns an option's number. Precondition: the option is one.
+  /// Returns an option's value. Precondition: the option is an unsigned number.
   std::uint64_t Number(const std::string& name) const;
   double Real(const std::string& name) const;
   bool Flag(const std::string& name) const;
-  /// Returns the parts of an option between commas.
+  /// Returns the comma-separated parts of an option.
   std::vector<std::string> List(const std::string& name) const;
-  /// Returns the arguments that are no options.
+  /// Returns the arguments that are not options.
   std::vector<std::string> Positional() const;
   bool Json() const { return this->Text("output") == "json"; }
 
@@ -51,7 +52,7 @@
 struct Subcommand {
   const char* name;
   const char* summary;
-  /// What follows the options in the usage line.
+  /// Positional arguments as shown in the usage line.
   const char* positional;
   void (*add_options)(cxxopts::Options&);
   /// Returns the exit code.
--- a/include/toucanwharf/command/errors.h
+++ b/include/toucanwharf/command/errors.h
@@ -3,16 +3,16 @@
 
 #include <system_error>
 
-/// What the `toucanwharf` program does, for operators and callers.
+/// The `toucanwharf` command-line client for operators and callers.
 namespace toucanwharf::command {
 
 /// Exit code of success.
 inline constexpr int kExitOk = 0;
 
-/// How a subcommand failed. The numbers are the program's exit codes, which
+/// How a subcommand failed. The values are the program's exit codes, which
 /// scripts rely on.
 enum class CommandError {
-  /// Refused, and surely without effect.
+  /// Refused, and known to have had no effect.
   kRefused = 1,
   kBadUsage = 2,
   kBadDocument = 3,
@@ -21,14 +21,14 @@
   kOutcomeUnknown = 5,
   kUnreachable = 6,
   kNotFound = 7,
-  /// Came incomplete, or is not what it has to be.
+  /// The answer is incomplete or differs from the expected one.
   kWrongAnswer = 8,
 };
 
 /// Returns the category of CommandError. Thread safety: safe.
 const std::error_category& CommandCategory();
 
-/// Lets a CommandError become a std::error_code by itself.
+/// Enables the implicit conversion of a CommandError to a std::error_code.
 std::error_code make_error_code(CommandError error);
 
 }  // namespace toucanwharf::command
--- a/include/toucanwharf/command/load_plan.h
+++ b/include/toucanwharf/command/load_plan.h
@@ -16,35 +16,37 @@
 struct LoadCustomer {
   std::string name;
   std::string key;
-  /// Share of the calls, relative to the other customers.
+  /// Weight of its calls, relative to the other customers.
   double share = 1.0;
 
   friend bool operator==(const LoadCustomer&, const LoadCustomer&) = default;
 };
 
-/// A deployment's mix of work.
+/// The mix of model requests and service calls of a deployment.
 struct LoadProfile {
   std::string name;
   std::string model;
   std::string service;
-  /// Path of the non-idempotent call; a number is put in place of "%d".
+  /// Path of the non-idempotent call; "%d" is replaced by the call's number.
   std::string path;
   std::vector<LoadCustomer> customers;
   std::vector<std::string> prompts;
-  /// Part of the calls that go to the service, 0 to 1.
-  double service_part = 0.1;
-  /// Lengths of answers in tokens, drawn evenly from this list.
+  /// Fraction of the calls that go to the service, 0 to 1.
+  double service_fraction = 0.1;
+  /// Answer lengths in tokens, drawn uniformly from this list.
   std::vector<std::uint32_t> lengths;
 
   friend bool operator==(const LoadProfile&, const LoadProfile&) = default;
 };
 
-/// Returns the profile "atlas" or "rangi", or nothing. Thread safety: safe.
+/// Returns the profile "atlas" or "rangi"; nothing for another name.
+/// Thread safety: safe.
 std::optional<LoadProfile> FindProfile(std::string_view name);
 
-/// One call of the load, at a time that does not depend on earlier answers.
+/// One call of an open-loop load: its time does not depend on earlier answers.
 struct Arrival {
-  Duration at{0};
+  /// Time since the start of the load.
+  Duration offset{0};
   std::size_t customer = 0;
   bool to_service = false;
   std::string prompt;
@@ -55,8 +57,8 @@
   friend bool operator==(const Arrival&, const Arrival&) = default;
 };
 
-/// Open-loop arrivals: exponential pauses at a mean rate, the same for a seed
-/// on every machine.
+/// Generates open-loop arrivals with exponential gaps at a mean rate; a seed
+/// gives the same sequence on every machine.
 /// Thread safety: none.
 class ArrivalSource {
  public:
--- a/include/toucanwharf/command/load_report.h
+++ b/include/toucanwharf/command/load_report.h
@@ -11,34 +11,35 @@
 
 namespace toucanwharf::command {
 
-/// Returns the value below or at which \p part (0 to 1) of \p samples lie, by
-/// the nearest rank; zero without samples. Thread safety: safe.
-Duration Percentile(std::vector<Duration> samples, double part);
+/// Returns the nearest-rank percentile of \p samples at \p fraction (0 to 1);
+/// zero without samples. Thread safety: safe.
+Duration Percentile(std::vector<Duration> samples, double fraction);
 
-/// What a load run saw. A value that is filled while the run goes on.
+/// Counters and latencies of a load run, filled during the run.
 struct LoadReport {
   std::uint64_t answers = 0;
   std::uint64_t service_calls = 0;
-  /// Answers that came whole, and service calls that succeeded.
+  /// Complete answers, and service calls that succeeded.
   std::uint64_t whole = 0;
   std::uint64_t service_done = 0;
-  /// Refusals of both kinds of call by what they said of `ran`; "unsaid" when
-  /// they said nothing.
+  /// Refusals of both kinds of call by their `ran` member; "unsaid" if it is
+  /// missing.
   std::map<std::string, std::uint64_t> refused_by_ran;
-  /// Answers that broke off, or changed under way, and calls without an end.
+  /// Answers that were aborted or whose tokens changed, and service calls that
+  /// ended without an answer.
   std::uint64_t broken = 0;
-  /// Whole answers whose tokens are not what they have to be.
+  /// Complete answers whose tokens differ from the expected ones.
   std::uint64_t wrong = 0;
-  /// Connections lost from which an answer still went on.
+  /// Connections lost after the call had been sent.
   std::uint64_t interruptions = 0;
   std::uint64_t tokens = 0;
-  /// From the planned time of a call to its first token, so that a stalled
-  /// system is not spared the calls that it delayed.
+  /// Time from the planned start of a call to its first token, so that calls
+  /// delayed by a stalled system count with their full delay.
   std::vector<Duration> first_token;
   std::vector<Duration> gaps;
   std::vector<Duration> totals;
   std::vector<Duration> service_totals;
-  Duration length{0};
+  Duration duration{0};
 
   friend bool operator==(const LoadReport&, const LoadReport&) = default;
 };
@@ -46,7 +47,7 @@
 /// Returns \p report with percentiles in milliseconds. Thread safety: safe.
 nlohmann::json ToJson(const LoadReport& report);
 
-/// Returns \p report as lines for people. Thread safety: safe.
+/// Returns \p report as human-readable lines. Thread safety: safe.
 std::string ToText(const LoadReport& report);
 
 }  // namespace toucanwharf::command
--- a/include/toucanwharf/command/platform.h
+++ b/include/toucanwharf/command/platform.h
@@ -12,14 +12,14 @@
 
 namespace toucanwharf::command {
 
-/// The platform's object API as the command uses it: one call at a time, each
-/// carried to a known end within a deadline.
+/// Client of the platform's object API. Makes one call at a time and retries it
+/// until its outcome is known or a timeout has passed.
 /// Thread safety: safe; all methods block the calling thread.
 class Platform {
  public:
-  /// Precondition: \p address is "ip:port". Each method gives up after \p
-  /// patience.
-  Platform(std::string address, Duration patience);
+  /// Precondition: \p address is "ip:port". Each method, with all its attempts,
+  /// gives up after \p timeout.
+  Platform(std::string address, Duration timeout);
 
   /// Returns all objects of \p collection. Errors: kUnreachable.
   Result<store::Listing> List(const std::string& collection) const;
@@ -29,13 +29,13 @@
 
   /// Writes \p value if the object's version is still \p if_version (0: if it
   /// does not exist) and returns the new version. Errors: kConflict,
-  /// kOutcomeUnknown when the platform stayed silent.
+  /// kOutcomeUnknown if the platform does not answer in time.
   Result<std::uint64_t> Write(const store::ObjectKey& key,
                               const nlohmann::json& value,
                               std::uint64_t if_version) const;
 
-  /// Deletes the object if its version is still \p if_version. An object that
-  /// is gone already counts as deleted. Errors: kConflict, kOutcomeUnknown.
+  /// Deletes the object if its version is still \p if_version. A missing object
+  /// counts as deleted. Errors: kConflict, kOutcomeUnknown.
   Result<void> Delete(const store::ObjectKey& key,
                       std::uint64_t if_version) const;
 
@@ -44,11 +44,11 @@
   Result<std::vector<std::string>> AdminAddresses() const;
 
  private:
-  store::WriteAnswer TryWrite(const store::Write& write) const;
-  store::ReadAnswer TryRead(const store::ObjectKey& key) const;
+  store::WriteAnswer AttemptWrite(const store::Write& write) const;
+  store::ReadAnswer AttemptRead(const store::ObjectKey& key) const;
 
   std::string address;
-  Duration patience;
+  Duration timeout;
 };
 
 }  // namespace toucanwharf::command
--- a/lib/command/answer_session.cc
+++ b/lib/command/answer_session.cc
@@ -15,12 +15,12 @@
 using transport::HttpOutcome;
 
 constexpr int kOk = 200;
-// Each entry instance may be asked to resume and asked anew after each of two
-// faults; whoever fails more often is not served by asking once more.
+// Allows a resume attempt and a repeated request per entry instance after each
+// of two faults; after more faults another call is unlikely to succeed.
 constexpr std::uint32_t kCallsPerEntry = 4;
-// Refusals that mean only this instance, not the system.
-constexpr const char* kInstanceOnly[] = {"not_ready", "draining"};
-constexpr const char* kDone = "[DONE]";
+// Error codes that concern only the instance that answered, not the system.
+constexpr const char* kInstanceErrorCodes[] = {"not_ready", "draining"};
+constexpr const char* kFinalEvent = "[DONE]";
 
 std::string TextMember(const json& object, const char* name) {
   if (!object.is_object()) return "";
@@ -46,14 +46,15 @@
   return failure;
 }
 
-bool IsInstanceOnly(const json& body) {
+bool IsInstanceError(const json& body) {
   if (!body.is_object()) return false;
   const std::string code = TextMember(body.value("error", json()), "code");
-  return std::any_of(std::begin(kInstanceOnly), std::end(kInstanceOnly),
+  return std::any_of(std::begin(kInstanceErrorCodes),
+                     std::end(kInstanceErrorCodes),
                      [&code](const char* known) { return code == known; });
 }
 
-/// Returns the text of a chunk of either shape; empty for the finish chunk.
+/// Returns the text of a chat or completion chunk; empty for the final chunk.
 std::string ChunkText(const json& chunk) {
   const auto choices = chunk.find("choices");
   const bool usable = choices != chunk.end() && choices->is_array() &&
@@ -79,11 +80,12 @@
 
 }  // namespace
 
-AnswerSession::AnswerSession(AnswerQuery wanted,
-                             std::vector<std::string> addresses)
-    : query(std::move(wanted)), entries(std::move(addresses)) {
-  assert(!this->entries.empty() && "a caller needs an entry instance");
-  this->step = {AnswerStep::Kind::kAsk, this->entries.front()};
+AnswerSession::AnswerSession(AnswerQuery answer_query,
+                             std::vector<std::string> entry_addresses)
+    : query(std::move(answer_query)), entries(std::move(entry_addresses)) {
+  assert(!this->entries.empty() &&
+         "a session needs at least one entry instance");
+  this->step = {AnswerStep::Kind::kRequest, this->entries.front()};
 }
 
 transport::HttpCall AnswerSession::Call(std::string_view key) const {
@@ -104,13 +106,13 @@
 std::size_t AnswerSession::OnBytes(std::string_view bytes) {
   const std::size_t before = this->tokens.size();
   for (const std::string& data : this->parser.Feed(bytes)) {
-    this->TakeEvent(data);
+    this->ProcessEvent(data);
   }
   return this->tokens.size() - before;
 }
 
-void AnswerSession::TakeEvent(const std::string& data) {
-  if (data == kDone) {
+void AnswerSession::ProcessEvent(const std::string& data) {
+  if (data == kFinalEvent) {
     this->complete = true;
     return;
   }
@@ -124,11 +126,11 @@
   this->id = TextMember(chunk, "id");
   std::string text = ChunkText(chunk);
   if (text.empty()) return;
-  this->TakeToken(NumberMember(chunk, "index_in_answer", this->tokens.size()),
-                  std::move(text));
+  this->AddToken(NumberMember(chunk, "index_in_answer", this->tokens.size()),
+                 std::move(text));
 }
 
-void AnswerSession::TakeToken(std::uint64_t index, std::string text) {
+void AnswerSession::AddToken(std::uint64_t index, std::string text) {
   if (index == this->tokens.size()) {
     this->tokens.push_back(std::move(text));
     return;
@@ -144,32 +146,32 @@
 void AnswerSession::OnEnd(const HttpOutcome& outcome) {
   this->parser = transport::EventStreamParser();
   if (this->failed) {
-    this->Finish(State::kBroken);
+    this->Finish(State::kFailed);
     return;
   }
   if (this->complete) {
-    this->Finish(State::kWhole);
+    this->Finish(State::kComplete);
     return;
   }
   const bool answered = outcome.end == CallEnd::kAnswered;
-  const bool asked = this->step.kind == AnswerStep::Kind::kAsk;
-  if (answered && outcome.status != kOk && asked) {
-    this->TakeRefusal(outcome);
+  const bool requested = this->step.kind == AnswerStep::Kind::kRequest;
+  if (answered && outcome.status != kOk && requested) {
+    this->HandleRefusal(outcome);
     return;
   }
-  // A connection that was refused interrupts nothing.
+  // A refused connection does not count as an interruption.
   const bool cut_off = !answered || outcome.status == kOk;
   if (cut_off && outcome.sent) ++this->interruptions;
-  if (outcome.sent && asked) this->asked_to_resume = {this->step.entry};
+  if (outcome.sent && requested) this->resume_attempted_at = {this->step.entry};
   this->failure = {outcome.status, Explain(outcome), "unknown", 0};
-  this->GoOn();
+  this->ChooseNextStep();
 }
 
-void AnswerSession::TakeRefusal(const HttpOutcome& outcome) {
+void AnswerSession::HandleRefusal(const HttpOutcome& outcome) {
   const json body = json::parse(outcome.body, nullptr, false);
   this->failure = FailureOf(outcome.status, body);
-  if (IsInstanceOnly(body)) {
-    this->GoOn();
+  if (IsInstanceError(body)) {
+    this->ChooseNextStep();
     return;
   }
   this->Finish(State::kRefused);
@@ -182,21 +184,21 @@
   return next == this->entries.end() ? this->entries.front() : *next;
 }
 
-void AnswerSession::GoOn() {
+void AnswerSession::ChooseNextStep() {
   if (++this->calls > kCallsPerEntry * this->entries.size()) {
-    this->Finish(State::kBroken);
+    this->Finish(State::kFailed);
     return;
   }
   const std::string entry = this->NextEntry();
   const bool resumable =
-      !this->id.empty() && this->asked_to_resume.insert(entry).second;
+      !this->id.empty() && this->resume_attempted_at.insert(entry).second;
   if (resumable) {
     this->step = {AnswerStep::Kind::kResume, entry};
     return;
   }
   this->id.clear();
-  this->asked_to_resume.clear();
-  this->step = {AnswerStep::Kind::kAsk, entry};
+  this->resume_attempted_at.clear();
+  this->step = {AnswerStep::Kind::kRequest, entry};
 }
 
 void AnswerSession::Finish(State end) {
--- a/lib/command/errors.cc
+++ b/lib/command/errors.cc
@@ -12,24 +12,25 @@
   std::string message(int code) const override {
     switch (static_cast<CommandError>(code)) {
       case CommandError::kRefused:
-        return "refused without effect; do what the refusal says, or come back "
+        return "refused without effect; follow the refusal's advice or retry "
                "later";
       case CommandError::kBadUsage:
-        return "the arguments are wrong; see --help";
+        return "invalid arguments; see --help";
       case CommandError::kBadDocument:
-        return "a document has problems; correct them and try again";
+        return "a document has problems; correct them and retry";
       case CommandError::kConflict:
-        return "somebody else changed it meanwhile; get it, compare, and try "
-               "again";
+        return "changed concurrently by another writer; get it, compare, and "
+               "retry";
       case CommandError::kOutcomeUnknown:
-        return "it may have taken effect or not; look before you repeat it";
+        return "it may or may not have taken effect; check before you repeat "
+               "it";
       case CommandError::kUnreachable:
         return "no answer; check the address and that the process runs";
       case CommandError::kNotFound:
-        return "there is no such thing; check the name";
+        return "not found; check the name";
       case CommandError::kWrongAnswer:
         return "the answer is incomplete or wrong; keep the request id and "
-               "look at the time line";
+               "check the timeline";
     }
     return "unknown error; see docs/OPERATING.md";
   }
--- a/lib/command/expected_answer.cc
+++ b/lib/command/expected_answer.cc
@@ -10,12 +10,12 @@
 
 Result<records::Catalog> ReadCatalog(const Platform& platform) {
   BOOST_OUTCOME_TRY(listing, platform.List("records"));
-  std::vector<records::Record> found;
+  std::vector<records::Record> parsed_records;
   for (const store::Object& object : listing.objects) {
     const auto parsed = records::ParseRecord(object.value);
-    if (parsed) found.push_back(parsed.assume_value().record);
+    if (parsed) parsed_records.push_back(parsed.assume_value().record);
   }
-  return records::BuildCatalog(listing.revision, found);
+  return records::BuildCatalog(listing.revision, parsed_records);
 }
 
 Result<std::vector<std::string>> ExpectedAnswer(const records::Catalog& catalog,
@@ -25,7 +25,7 @@
   const records::Pipeline& served = pipeline->second;
   const auto model = catalog.models.find(served.model);
   if (model == catalog.models.end()) return CommandError::kNotFound;
-  // The router hands the messages of a chat on as lines of one prompt.
+  // The router forwards chat messages as lines of one prompt.
   const std::string prompt =
       query.chat ? "user: " + query.prompt + "\n" : query.prompt;
   const std::uint32_t count = std::min(query.max_tokens, served.max_tokens);
--- a/lib/command/expected_answer.h
+++ b/lib/command/expected_answer.h
@@ -8,13 +8,14 @@
 #include "toucanwharf/command/platform.h"
 #include "toucanwharf/records/records.h"
 
-/// The right answers of the stand-in engines, to check a system under test.
+/// Expected answers of the stand-in engines, to verify a system under test.
 namespace toucanwharf::command {
 
-/// Reads the records as they stand on the platform. Errors: kUnreachable.
+/// Reads the current records from the platform. Errors: kUnreachable.
 Result<records::Catalog> ReadCatalog(const Platform& platform);
 
-/// Returns the tokens that stand-in engines give for \p query by \p catalog.
+/// Returns the tokens that stand-in engines produce for \p query under
+/// \p catalog.
 /// Errors: kNotFound when the pipeline or its model is missing.
 Result<std::vector<std::string>> ExpectedAnswer(const records::Catalog& catalog,
                                                 const AnswerQuery& query);
--- a/lib/command/explain_subcommand.cc
+++ b/lib/command/explain_subcommand.cc
@@ -37,20 +37,20 @@
     return;
   }
   PrintEntries(out, "what happened:", explanation.steps);
-  PrintEntries(out, "what its instance believed:", explanation.beliefs);
+  PrintEntries(out, "state changes of its instance:", explanation.beliefs);
   out << "likely cause: " << explanation.cause << "\n";
 }
 
 int Run(const Arguments& arguments, Streams& streams) {
-  const auto words = arguments.Positional();
-  if (words.size() < 2) {
+  const auto positional = arguments.Positional();
+  if (positional.size() < 2) {
     return Fail(streams, CommandError::kBadUsage,
                 "explain REQUEST-ID LOG-FILE...");
   }
   std::vector<LogEntry> entries;
-  for (std::size_t at = 1; at < words.size(); ++at) {
-    std::ifstream file(words[at]);
-    if (!file) return Fail(streams, CommandError::kBadUsage, words[at]);
+  for (std::size_t index = 1; index < positional.size(); ++index) {
+    std::ifstream file(positional[index]);
+    if (!file) return Fail(streams, CommandError::kBadUsage, positional[index]);
     for (std::string line; std::getline(file, line);) {
       if (auto entry = eventlog::ParseLogLine(line)) {
         entries.push_back(std::move(*entry));
@@ -58,9 +58,9 @@
     }
   }
   const Explanation explanation =
-      eventlog::Explain(std::move(entries), words.front());
+      eventlog::Explain(std::move(entries), positional.front());
   if (explanation.steps.empty()) {
-    return Fail(streams, CommandError::kNotFound, words.front());
+    return Fail(streams, CommandError::kNotFound, positional.front());
   }
   Print(explanation, arguments.Json(), streams.out);
   return kExitOk;
@@ -69,7 +69,7 @@
 }  // namespace
 
 Subcommand ExplainSubcommand() {
-  return {"explain", "tell from logs what became of a request",
+  return {"explain", "Explain the outcome of a request from event logs",
           "REQUEST-ID LOG-FILE...", [](cxxopts::Options&) {}, Run};
 }
 
--- a/lib/command/http.cc
+++ b/lib/command/http.cc
@@ -13,7 +13,7 @@
 using transport::CallEnd;
 using transport::HttpOutcome;
 
-constexpr Duration kLookPeriod = std::chrono::milliseconds(100);
+constexpr Duration kIdleCheckPeriod = std::chrono::milliseconds(100);
 
 std::string EndText(const HttpOutcome& outcome) {
   switch (outcome.end) {
@@ -22,7 +22,7 @@
     case CallEnd::kNotConnected:
       return "cannot connect (" + outcome.error + ")";
     case CallEnd::kBroken:
-      return "the connection broke (" + outcome.error + ")";
+      return "connection lost (" + outcome.error + ")";
     case CallEnd::kTimedOut:
       return "timed out";
   }
@@ -47,12 +47,12 @@
 
 HttpOutcome FetchStream(transport::HttpCall call,
                         std::function<void(std::string_view)> on_data,
-                        Duration silence) {
+                        Duration idle_timeout) {
   transport::EventLoop loop;
   transport::HttpClient client(loop);
   HttpOutcome result;
   TimePoint last_byte = loop.Now();
-  const auto note_data = [&](std::string_view bytes) {
+  const auto record_data = [&](std::string_view bytes) {
     last_byte = loop.Now();
     on_data(bytes);
   };
@@ -61,19 +61,19 @@
     loop.Stop();
   };
   call.total_timeout = Duration(0);
-  const auto id = client.Start(std::move(call), {note_data, on_done});
-  std::function<void()> look = [&] {
-    if (loop.Now() - last_byte >= silence) {
+  const auto id = client.Start(std::move(call), {record_data, on_done});
+  std::function<void()> check_idle = [&] {
+    if (loop.Now() - last_byte >= idle_timeout) {
       client.Cancel(id);
       result.end = CallEnd::kBroken;
       result.sent = true;
-      result.error = "silent for too long";
+      result.error = "no data within the idle timeout";
       loop.Stop();
       return;
     }
-    loop.After(kLookPeriod, look);
+    loop.After(kIdleCheckPeriod, check_idle);
   };
-  loop.After(kLookPeriod, look);
+  loop.After(kIdleCheckPeriod, check_idle);
   loop.Run();
   return result;
 }
--- a/lib/command/load_plan.cc
+++ b/lib/command/load_plan.cc
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// Two customers of ten make most of the calls in both deployments.
+// In both deployments two customers of ten make most of the calls.
 constexpr double kLargeShare = 6.0;
 
-LoadCustomer Make(const std::string& name, double share) {
+LoadCustomer MakeCustomer(const std::string& name, double share) {
   return LoadCustomer{name, "demo-key-" + name, share};
 }
 
@@ -23,13 +23,14 @@
   profile.model = "qa-model";
   profile.service = "lot-records";
   profile.path = "/lots/%d/sign";
-  profile.customers = {Make("berrechid-release", kLargeShare),
-                       Make("agadir-distribution", kLargeShare),
-                       Make("kohl-line", 1), Make("argan-serums", 1)};
+  profile.customers = {MakeCustomer("berrechid-release", kLargeShare),
+                       MakeCustomer("agadir-distribution", kLargeShare),
+                       MakeCustomer("kohl-line", 1),
+                       MakeCustomer("argan-serums", 1)};
   profile.prompts = {"Summarise the deviations of the cream lot",
                      "Draft the release note of the kohl lot",
                      "Compare the batch with its master formula"};
-  profile.service_part = 0.1;
+  profile.service_fraction = 0.1;
   profile.lengths = {16, 32, 64, 128};
   return profile;
 }
@@ -40,13 +41,14 @@
   profile.model = "brush-model";
   profile.service = "rounds-app";
   profile.path = "/jobs/%d/done";
-  profile.customers = {Make("nyarugenge-crew", kLargeShare),
-                       Make("gasabo-crew", kLargeShare),
-                       Make("kicukiro-crew", 1), Make("district-office", 1)};
+  profile.customers = {MakeCustomer("nyarugenge-crew", kLargeShare),
+                       MakeCustomer("gasabo-crew", kLargeShare),
+                       MakeCustomer("kicukiro-crew", 1),
+                       MakeCustomer("district-office", 1)};
   profile.prompts = {"Summarise the condition of the cabinet at the corner",
                      "Plan paint and surface for the next round",
                      "Write the job notes for the district office"};
-  profile.service_part = 0.2;
+  profile.service_fraction = 0.2;
   profile.lengths = {8, 16, 32, 96};
   return profile;
 }
@@ -64,11 +66,11 @@
   return std::nullopt;
 }
 
-ArrivalSource::ArrivalSource(LoadProfile mix, double calls_per_second,
+ArrivalSource::ArrivalSource(LoadProfile load_profile, double calls_per_second,
                              std::uint64_t seed)
-    : profile(std::move(mix)), rate(calls_per_second), random(seed) {
-  assert(this->rate > 0 && "a load has a rate");
-  assert(!this->profile.customers.empty() && "a load has customers");
+    : profile(std::move(load_profile)), rate(calls_per_second), random(seed) {
+  assert(this->rate > 0 && "the arrival rate must be positive");
+  assert(!this->profile.customers.empty() && "the profile must have customers");
 }
 
 std::size_t ArrivalSource::PickCustomer() {
@@ -76,22 +78,22 @@
   for (const LoadCustomer& customer : this->profile.customers) {
     total += customer.share;
   }
-  double left = this->random.Unit() * total;
-  for (std::size_t at = 0; at < this->profile.customers.size(); ++at) {
-    left -= this->profile.customers[at].share;
-    if (left < 0) return at;
+  double remaining = this->random.Unit() * total;
+  for (std::size_t index = 0; index < this->profile.customers.size(); ++index) {
+    remaining -= this->profile.customers[index].share;
+    if (remaining < 0) return index;
   }
   return this->profile.customers.size() - 1;
 }
 
 Arrival ArrivalSource::Next() {
-  const double pause = -std::log(1.0 - this->random.Unit()) / this->rate;
-  this->now += Duration(static_cast<std::int64_t>(pause * kMicrosPerSecond));
+  const double gap_s = -std::log(1.0 - this->random.Unit()) / this->rate;
+  this->now += Duration(static_cast<std::int64_t>(gap_s * kMicrosPerSecond));
   ++this->count;
   Arrival arrival;
-  arrival.at = this->now;
+  arrival.offset = this->now;
   arrival.customer = this->PickCustomer();
-  arrival.to_service = this->random.Unit() < this->profile.service_part;
+  arrival.to_service = this->random.Unit() < this->profile.service_fraction;
   arrival.prompt = PickOne(this->profile.prompts, this->random) + " " +
                    std::to_string(this->count);
   arrival.path = absl::StrReplaceAll(this->profile.path,
--- a/lib/command/load_report.cc
+++ b/lib/command/load_report.cc
@@ -17,8 +17,8 @@
 constexpr double kP95 = 0.95;
 constexpr double kP99 = 0.99;
 
-double Millis(Duration length) {
-  return static_cast<double>(length.count()) / kMicrosPerMilli;
+double Millis(Duration duration) {
+  return static_cast<double>(duration.count()) / kMicrosPerMilli;
 }
 
 json Percentiles(const std::vector<Duration>& samples) {
@@ -38,16 +38,16 @@
 
 double TokenRate(const LoadReport& report) {
   const double seconds =
-      static_cast<double>(report.length.count()) / kMicrosPerSecond;
+      static_cast<double>(report.duration.count()) / kMicrosPerSecond;
   return seconds > 0 ? static_cast<double>(report.tokens) / seconds : 0;
 }
 
 }  // namespace
 
-Duration Percentile(std::vector<Duration> samples, double part) {
+Duration Percentile(std::vector<Duration> samples, double fraction) {
   if (samples.empty()) return Duration(0);
   std::sort(samples.begin(), samples.end());
-  const double rank = std::ceil(part * static_cast<double>(samples.size()));
+  const double rank = std::ceil(fraction * static_cast<double>(samples.size()));
   const auto index = static_cast<std::size_t>(std::max(rank, 1.0)) - 1;
   return samples[std::min(index, samples.size() - 1)];
 }
@@ -63,7 +63,7 @@
           {"service_done", report.service_done},
           {"tokens", report.tokens},
           {"tokens_per_second", TokenRate(report)},
-          {"length_ms", Millis(report.length)},
+          {"length_ms", Millis(report.duration)},
           {"first_token", Percentiles(report.first_token)},
           {"token_gap", Percentiles(report.gaps)},
           {"answer_total", Percentiles(report.totals)},
--- a/lib/command/load_runner.cc
+++ b/lib/command/load_runner.cc
@@ -17,12 +17,12 @@
 
 constexpr int kOk = 200;
 constexpr int kFirstError = 400;
-constexpr Duration kPause = std::chrono::milliseconds(100);
-constexpr Duration kLookPeriod = std::chrono::milliseconds(250);
+constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
+constexpr Duration kIdleCheckPeriod = std::chrono::milliseconds(250);
 constexpr Duration kProgressPeriod = std::chrono::seconds(1);
 constexpr Duration kServiceTimeout = std::chrono::seconds(30);
 
-/// Returns the addresses of an answer of `/v1/entries`.
+/// Returns the addresses in a `/v1/entries` response.
 std::vector<std::string> AddressesOf(const json& advice) {
   std::vector<std::string> addresses;
   const auto entries = advice.find("entries");
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-/// One model answer under way.
+/// One model answer in progress.
 struct LoadRunner::Answer {
   AnswerSession session;
   AnswerQuery query;
@@ -47,43 +47,45 @@
   transport::CallId call = 0;
 };
 
-LoadRunner::LoadRunner(LoadOptions wanted,
+LoadRunner::LoadRunner(LoadOptions load_options,
                        std::function<void(const LoadReport&)> progress)
-    : options(std::move(wanted)),
+    : options(std::move(load_options)),
       on_progress(std::move(progress)),
       arrivals(this->options.profile, this->options.rate, this->options.seed),
       random(this->options.seed + 1),
       client(this->loop) {}
 
 LoadReport LoadRunner::Run() {
-  this->began = this->loop.Now();
-  for (std::size_t at = 0; at < this->options.profile.customers.size(); ++at) {
-    this->RefreshAdvice(at);
+  this->start_time = this->loop.Now();
+  for (std::size_t customer = 0;
+       customer < this->options.profile.customers.size(); ++customer) {
+    this->RefreshAdvice(customer);
   }
   this->ScheduleNext();
-  this->CutSilent();
+  this->AbortIdleCalls();
   this->ReportProgress();
   this->loop.Run();
-  this->report.length = this->loop.Now() - this->began;
+  this->report.duration = this->loop.Now() - this->start_time;
   return this->report;
 }
 
 void LoadRunner::ScheduleNext() {
   const Arrival arrival = this->arrivals.Next();
-  if (arrival.at > this->options.length) {
-    this->all_started = true;
+  if (arrival.offset > this->options.duration) {
+    this->all_calls_started = true;
     this->StopIfDone();
     return;
   }
-  const Duration passed = this->loop.Now() - this->began;
-  this->loop.After(std::max(arrival.at - passed, Duration(0)), [this, arrival] {
-    this->Start(arrival);
-    this->ScheduleNext();
-  });
+  const Duration passed = this->loop.Now() - this->start_time;
+  this->loop.After(std::max(arrival.offset - passed, Duration(0)),
+                   [this, arrival] {
+                     this->Start(arrival);
+                     this->ScheduleNext();
+                   });
 }
 
 void LoadRunner::Start(const Arrival& arrival) {
-  ++this->running;
+  ++this->calls_running;
   if (arrival.to_service) {
     this->StartService(arrival);
     return;
@@ -95,7 +97,7 @@
   ++this->report.answers;
   const AnswerQuery query{true, this->options.profile.model, arrival.prompt,
                           arrival.max_tokens, arrival.seed};
-  const TimePoint planned = this->began + arrival.at;
+  const TimePoint planned = this->start_time + arrival.offset;
   auto answer = std::make_shared<Answer>(
       Answer{AnswerSession(query, this->EntriesFor(arrival.customer)), query,
              this->options.profile.customers[arrival.customer].key, planned,
@@ -110,7 +112,7 @@
   call.total_timeout = Duration(0);
   transport::CallHandlers handlers;
   handlers.on_data = [this, answer](std::string_view bytes) {
-    this->TakeBytes(*answer, bytes);
+    this->ProcessBytes(*answer, bytes);
   };
   handlers.on_done = [this, answer](const HttpOutcome& outcome) {
     answer->call = 0;
@@ -120,7 +122,7 @@
   answer->call = this->client.Start(std::move(call), std::move(handlers));
 }
 
-void LoadRunner::TakeBytes(Answer& answer, std::string_view bytes) {
+void LoadRunner::ProcessBytes(Answer& answer, std::string_view bytes) {
   const TimePoint now = this->loop.Now();
   answer.last_byte = now;
   const std::size_t added = answer.session.OnBytes(bytes);
@@ -137,18 +139,18 @@
 void LoadRunner::EndAnswer(const SharedAnswer& answer) {
   const AnswerSession& session = answer->session;
   if (session.Next().kind != AnswerStep::Kind::kEnd) {
-    this->loop.After(kPause, [this, answer] { this->Continue(answer); });
+    this->loop.After(kRetryDelay, [this, answer] { this->Continue(answer); });
     return;
   }
   this->report.interruptions += session.Interruptions();
-  if (session.Status() == AnswerSession::State::kWhole) {
+  if (session.Status() == AnswerSession::State::kComplete) {
     ++this->report.whole;
     this->report.totals.push_back(this->loop.Now() - answer->planned);
     if (this->options.catalog) {
       const auto expected =
           ExpectedAnswer(*this->options.catalog, answer->query);
-      const bool right = expected && expected.value() == session.Tokens();
-      if (!right) ++this->report.wrong;
+      const bool correct = expected && expected.value() == session.Tokens();
+      if (!correct) ++this->report.wrong;
     }
   } else if (session.Status() == AnswerSession::State::kRefused) {
     const std::string& ran = session.Failure().ran;
@@ -157,7 +159,7 @@
     ++this->report.broken;
   }
   std::erase(this->answers, answer);
-  --this->running;
+  --this->calls_running;
   this->StopIfDone();
 }
 
@@ -170,7 +172,7 @@
   call.headers.emplace_back("Idempotency-Key", NewId());
   call.reuse = transport::Reuse::kNever;
   call.total_timeout = kServiceTimeout;
-  const TimePoint planned = this->began + arrival.at;
+  const TimePoint planned = this->start_time + arrival.offset;
   const auto on_done = [this, planned](const HttpOutcome& outcome) {
     this->EndService(outcome, planned);
   };
@@ -190,67 +192,67 @@
   } else {
     ++this->report.broken;
   }
-  --this->running;
+  --this->calls_running;
   this->StopIfDone();
 }
 
 void LoadRunner::RefreshAdvice(std::size_t customer) {
-  Advice& held = this->advice[customer];
-  if (held.asking) return;
-  held.asking = true;
-  const auto& asked =
-      held.entries.empty() ? this->options.entries : held.entries;
-  const std::string entry = asked[this->random.Below(asked.size())];
+  Advice& current = this->advice[customer];
+  if (current.request_in_flight) return;
+  current.request_in_flight = true;
+  const auto& candidates =
+      current.entries.empty() ? this->options.entries : current.entries;
+  const std::string entry = candidates[this->random.Below(candidates.size())];
   auto call = MakeCall("GET", entry, "/v1/entries",
                        this->options.profile.customers[customer].key);
   const auto on_done = [this, customer](const HttpOutcome& outcome) {
-    Advice& fresh = this->advice[customer];
-    fresh.asking = false;
+    Advice& updated = this->advice[customer];
+    updated.request_in_flight = false;
     const json body = json::parse(outcome.body, nullptr, false);
     if (outcome.status != kOk || !body.is_object()) return;
     auto addresses = AddressesOf(body);
     if (addresses.empty()) return;
-    fresh.entries = std::move(addresses);
+    updated.entries = std::move(addresses);
     const auto ttl = std::chrono::seconds(body.value("ttl_s", 1));
-    fresh.until = this->loop.Now() + ttl;
+    updated.valid_until = this->loop.Now() + ttl;
   };
   this->client.Start(std::move(call), {nullptr, on_done});
 }
 
 std::vector<std::string> LoadRunner::EntriesFor(std::size_t customer) {
-  const Advice& held = this->advice[customer];
-  const bool old = held.until <= this->loop.Now();
-  const bool keep = this->options.keep_advice && !held.entries.empty();
-  if (old && !keep) this->RefreshAdvice(customer);
+  const Advice& current = this->advice[customer];
+  const bool expired = current.valid_until <= this->loop.Now();
+  const bool retain = this->options.keep_advice && !current.entries.empty();
+  if (expired && !retain) this->RefreshAdvice(customer);
   std::vector<std::string> entries =
-      held.entries.empty() ? this->options.entries : held.entries;
+      current.entries.empty() ? this->options.entries : current.entries;
   const auto first =
       static_cast<std::ptrdiff_t>(this->random.Below(entries.size()));
   std::rotate(entries.begin(), entries.begin() + first, entries.end());
-  // Where the advised instances are gone, a caller falls back on what it was
-  // configured with.
+  // If the advised instances have departed, a caller falls back to its
+  // configured entries.
   for (const std::string& entry : this->options.entries) {
-    const auto known = std::find(entries.begin(), entries.end(), entry);
-    if (known == entries.end()) entries.push_back(entry);
+    const auto listed = std::find(entries.begin(), entries.end(), entry);
+    if (listed == entries.end()) entries.push_back(entry);
   }
   return entries;
 }
 
-void LoadRunner::CutSilent() {
-  const std::vector<SharedAnswer> look_at = this->answers;
-  for (const SharedAnswer& answer : look_at) {
-    const bool silent =
-        this->loop.Now() - answer->last_byte >= this->options.silence;
-    if (!silent || answer->call == 0) continue;
+void LoadRunner::AbortIdleCalls() {
+  const std::vector<SharedAnswer> running_answers = this->answers;
+  for (const SharedAnswer& answer : running_answers) {
+    const bool idle =
+        this->loop.Now() - answer->last_byte >= this->options.idle_timeout;
+    if (!idle || answer->call == 0) continue;
     this->client.Cancel(answer->call);
     answer->call = 0;
     HttpOutcome outcome;
     outcome.sent = true;
-    outcome.error = "silent for too long";
+    outcome.error = "no data within the idle timeout";
     answer->session.OnEnd(outcome);
     this->EndAnswer(answer);
   }
-  this->loop.After(kLookPeriod, [this] { this->CutSilent(); });
+  this->loop.After(kIdleCheckPeriod, [this] { this->AbortIdleCalls(); });
 }
 
 void LoadRunner::ReportProgress() {
@@ -259,7 +261,7 @@
 }
 
 void LoadRunner::StopIfDone() {
-  if (this->all_started && this->running == 0) this->loop.Stop();
+  if (this->all_calls_started && this->calls_running == 0) this->loop.Stop();
 }
 
 }  // namespace toucanwharf::command
--- a/lib/command/load_runner.h
+++ b/lib/command/load_runner.h
@@ -20,23 +20,23 @@
 
 struct LoadOptions {
   LoadProfile profile;
-  /// Calls a second.
+  /// Calls per second.
   double rate = 10;
-  Duration length{std::chrono::seconds(10)};
+  Duration duration{std::chrono::seconds(10)};
   std::uint64_t seed = 1;
-  /// Entry instances that are asked for advice.
+  /// Entry instances to request entry advice from.
   std::vector<std::string> entries;
-  /// Whether the first advice is kept for the whole run, as by a caller that
-  /// does not ask again.
+  /// Whether the first advice is kept for the whole run, to simulate a caller
+  /// that does not refresh it.
   bool keep_advice = false;
-  Duration silence{std::chrono::seconds(10)};
-  /// Records by which answers are checked; nothing checks none.
+  Duration idle_timeout{std::chrono::seconds(10)};
+  /// Records to verify answers against; without them nothing is verified.
   std::optional<records::Catalog> catalog;
 
   friend bool operator==(const LoadOptions&, const LoadOptions&) = default;
 };
 
-/// Plays an open-loop load on one thread.
+/// Runs an open-loop load on one thread.
 /// Thread safety: none.
 class LoadRunner {
  public:
@@ -44,17 +44,17 @@
   LoadRunner(LoadOptions options,
              std::function<void(const LoadReport&)> on_progress);
 
-  /// Plays the whole load, waits for its last answers, and returns what was
-  /// seen. Precondition: called once.
+  /// Runs the whole load, waits for the last answers, and returns the report.
+  /// Precondition: called at most once.
   LoadReport Run();
 
  private:
   struct Answer;
-  /// What one customer last heard of which entries to use.
+  /// The entry advice that one customer last received.
   struct Advice {
     std::vector<std::string> entries;
-    TimePoint until;
-    bool asking = false;
+    TimePoint valid_until;
+    bool request_in_flight = false;
   };
   using SharedAnswer = std::shared_ptr<Answer>;
 
@@ -63,12 +63,12 @@
   void StartAnswer(const Arrival& arrival);
   void StartService(const Arrival& arrival);
   void Continue(const SharedAnswer& answer);
-  void TakeBytes(Answer& answer, std::string_view bytes);
+  void ProcessBytes(Answer& answer, std::string_view bytes);
   void EndAnswer(const SharedAnswer& answer);
   void EndService(const transport::HttpOutcome& outcome, TimePoint planned);
   void RefreshAdvice(std::size_t customer);
   std::vector<std::string> EntriesFor(std::size_t customer);
-  void CutSilent();
+  void AbortIdleCalls();
   void ReportProgress();
   void StopIfDone();
 
@@ -79,9 +79,9 @@
   transport::EventLoop loop;
   transport::HttpClient client;
   LoadReport report;
-  TimePoint began;
-  bool all_started = false;
-  std::size_t running = 0;
+  TimePoint start_time;
+  bool all_calls_started = false;
+  std::size_t calls_running = 0;
   std::vector<SharedAnswer> answers;
   std::map<std::size_t, Advice> advice;
 };
--- a/lib/command/load_subcommand.cc
+++ b/lib/command/load_subcommand.cc
@@ -21,18 +21,20 @@
   LoadOptions options;
   options.profile = *profile;
   options.rate = arguments.Real("rate");
-  options.length = Duration(
+  options.duration = Duration(
       static_cast<std::int64_t>(arguments.Real("duration") * kMicrosPerSecond));
   options.seed = arguments.Number("seed");
   options.entries = arguments.List("entry");
   options.keep_advice = arguments.Flag("keep-advice");
-  options.silence = std::chrono::milliseconds(arguments.Number("silence-ms"));
+  options.idle_timeout =
+      std::chrono::milliseconds(arguments.Number("silence-ms"));
   const std::string model = arguments.Text("model");
   if (!model.empty()) options.profile.model = model;
-  const double part = arguments.Real("service-part");
-  if (part >= 0) options.profile.service_part = part;
-  const bool usable = options.rate > 0 && !options.entries.empty();
-  if (!usable) return CommandError::kBadUsage;
+  const double service_fraction = arguments.Real("service-part");
+  if (service_fraction >= 0)
+    options.profile.service_fraction = service_fraction;
+  const bool valid = options.rate > 0 && !options.entries.empty();
+  if (!valid) return CommandError::kBadUsage;
   if (!arguments.Flag("verify")) return options;
   BOOST_OUTCOME_TRY(platform, PlatformOf(arguments));
   BOOST_OUTCOME_TRY(catalog, ReadCatalog(platform));
@@ -88,22 +90,22 @@
   const auto real = [](const char* fallback) {
     return cxxopts::value<double>()->default_value(fallback);
   };
-  options.add_options()("profile", "atlas or rangi", text("atlas"))(
-      "rate", "calls a second", real("10"))("duration", "seconds of new calls",
-                                            real("10"))(
-      "seed", "seed of times, customers, prompts and lengths", number("1"))(
-      "model", "another model than the profile's", text(""))(
+  options.add_options()("profile", "load profile: atlas or rangi",
+                        text("atlas"))("rate", "calls per second", real("10"))(
+      "duration", "seconds during which new calls start", real("10"))(
+      "seed", "seed for times, customers, prompts and lengths", number("1"))(
+      "model", "model to use instead of the profile's", text(""))(
       "service-part",
-      "part of calls to the service, 0 to 1; below 0: as the "
-      "profile has it",
+      "fraction of calls to the service, 0 to 1; below 0: the "
+      "profile's",
       real("-1"))("silence-ms",
-                  "milliseconds of silence until another entry is used",
+                  "milliseconds without data until another entry is used",
                   number("10000"))(
       "keep-advice",
-      "keep the first answer of /v1/entries for the whole run, beyond its "
+      "keep the first response of /v1/entries for the whole run, beyond its "
       "time to live")(
       "verify",
-      "compare answers with what the stand-in engines have to give "
+      "compare with the expected answers of the stand-in engines "
       "(needs --platform)")("report",
                             "also write the JSON report "
                             "to this file",
@@ -113,7 +115,7 @@
 }  // namespace
 
 Subcommand LoadSubcommand() {
-  return {"load", "Play an open-loop load and report what callers get", "",
+  return {"load", "Run an open-loop load and report its results", "",
           AddLoadOptions, Load};
 }
 
--- a/lib/command/options.cc
+++ b/lib/command/options.cc
@@ -6,7 +6,7 @@
 namespace toucanwharf::command {
 namespace {
 
-auto Text(const std::string& fallback) {
+auto TextOption(const std::string& fallback) {
   return cxxopts::value<std::string>()->default_value(fallback);
 }
 
@@ -16,29 +16,29 @@
   options.add_options()("platform",
                         "IP:PORT of the platform's object API, or "
                         "TOUCANWHARF_PLATFORM",
-                        Text(""))(
-      "timeout-ms", "milliseconds until the platform is given up",
+                        TextOption(""))(
+      "timeout-ms", "milliseconds until an operation on the platform gives up",
       cxxopts::value<std::uint64_t>()->default_value("10000"));
 }
 
 void AddAdminOptions(cxxopts::Options& options) {
   AddPlatformOptions(options);
   options.add_options()("admin",
-                        "IP:PORT of routers' admin listeners, with commas "
-                        "between them, or TOUCANWHARF_ADMIN; default: all in "
-                        "the platform's list of instances",
-                        Text(""))(
-      "admin-key", "key of operators, or TOUCANWHARF_ADMIN_KEY", Text(""));
+                        "comma-separated IP:PORT of routers' admin listeners, "
+                        "or TOUCANWHARF_ADMIN; default: all in the platform's "
+                        "list of instances",
+                        TextOption(""))(
+      "admin-key", "admin key, or TOUCANWHARF_ADMIN_KEY", TextOption(""));
 }
 
 void AddCallerOptions(cxxopts::Options& options) {
   options.add_options()("entry",
-                        "IP:PORT of entry instances to ask first, with commas "
-                        "between them, or TOUCANWHARF_ENTRY",
-                        Text(""))("key",
-                                  "the customer's bearer key, or "
-                                  "TOUCANWHARF_KEY",
-                                  Text(""));
+                        "comma-separated IP:PORT of the entry instances to "
+                        "contact first, or TOUCANWHARF_ENTRY",
+                        TextOption(""))("key",
+                                        "the customer's bearer key, or "
+                                        "TOUCANWHARF_KEY",
+                                        TextOption(""));
 }
 
 Result<Platform> PlatformOf(const Arguments& arguments) {
@@ -49,8 +49,8 @@
 }
 
 Result<std::vector<std::string>> AdminAddressesOf(const Arguments& arguments) {
-  std::vector<std::string> given = arguments.List("admin");
-  if (!given.empty()) return given;
+  std::vector<std::string> addresses = arguments.List("admin");
+  if (!addresses.empty()) return addresses;
   BOOST_OUTCOME_TRY(platform, PlatformOf(arguments));
   return platform.AdminAddresses();
 }
--- a/lib/command/options.h
+++ b/lib/command/options.h
@@ -17,11 +17,11 @@
 /// Adds --entry and --key.
 void AddCallerOptions(cxxopts::Options& options);
 
-/// Returns the platform of --platform. Errors: kBadUsage when it is missing.
+/// Returns a client for --platform. Errors: kBadUsage if it is missing.
 Result<Platform> PlatformOf(const Arguments& arguments);
 
-/// Returns the addresses of --admin, or without it those of the platform's
-/// list of instances. Errors: kBadUsage when neither is given, kUnreachable.
+/// Returns the addresses of --admin, or without it those in the platform's list
+/// of instances. Errors: kBadUsage if neither option is given, kUnreachable.
 Result<std::vector<std::string>> AdminAddressesOf(const Arguments& arguments);
 
 }  // namespace toucanwharf::command
--- a/lib/command/platform.cc
+++ b/lib/command/platform.cc
@@ -24,26 +24,26 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 constexpr Duration kCallTimeout = std::chrono::seconds(2);
-constexpr Duration kFirstPause = std::chrono::milliseconds(50);
-constexpr Duration kLongestPause = std::chrono::seconds(1);
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(50);
+constexpr Duration kMaxBackoff = std::chrono::seconds(1);
 
-/// Pauses between tries until the patience is used up.
-class Tries {
+/// Sleeps between attempts, with exponential backoff, until the timeout.
+class RetryBackoff {
  public:
-  explicit Tries(Duration patience)
-      : deadline(BootClock().Now() + patience), pause(kFirstPause) {}
+  explicit RetryBackoff(Duration timeout)
+      : deadline(BootClock().Now() + timeout), backoff(kInitialBackoff) {}
 
-  /// Waits before the next try; false when there is no time for one.
+  /// Sleeps before the next attempt; returns false if no time is left for one.
   bool Wait() {
-    if (BootClock().Now() + this->pause >= this->deadline) return false;
-    std::this_thread::sleep_for(this->pause);
-    this->pause = std::min(2 * this->pause, kLongestPause);
+    if (BootClock().Now() + this->backoff >= this->deadline) return false;
+    std::this_thread::sleep_for(this->backoff);
+    this->backoff = std::min(2 * this->backoff, kMaxBackoff);
     return true;
   }
 
  private:
   TimePoint deadline;
-  Duration pause;
+  Duration backoff;
 };
 
 bool Answered(const HttpOutcome& outcome, int status) {
@@ -70,11 +70,11 @@
 
 }  // namespace
 
-Platform::Platform(std::string where, Duration limit)
-    : address(std::move(where)), patience(limit) {}
+Platform::Platform(std::string platform_address, Duration method_timeout)
+    : address(std::move(platform_address)), timeout(method_timeout) {}
 
 Result<store::Listing> Platform::List(const std::string& collection) const {
-  Tries tries(this->patience);
+  RetryBackoff retry_backoff(this->timeout);
   do {
     auto call = MakeCall("GET", this->address, "/objects/" + collection, "");
     call.total_timeout = kCallTimeout;
@@ -88,11 +88,11 @@
       listing.objects.push_back(ObjectOf(item));
     }
     return listing;
-  } while (tries.Wait());
+  } while (retry_backoff.Wait());
   return CommandError::kUnreachable;
 }
 
-store::ReadAnswer Platform::TryRead(const ObjectKey& key) const {
+store::ReadAnswer Platform::AttemptRead(const ObjectKey& key) const {
   auto call = MakeCall("GET", this->address, TargetOf(key), "");
   call.total_timeout = kCallTimeout;
   const HttpOutcome outcome = Fetch(std::move(call));
@@ -103,7 +103,7 @@
   return {store::ReadStatus::kFound, ObjectOf(body)};
 }
 
-store::WriteAnswer Platform::TryWrite(const store::Write& write) const {
+store::WriteAnswer Platform::AttemptWrite(const store::Write& write) const {
   auto call = MakeCall("PUT", this->address, TargetOf(write.key), "");
   call.total_timeout = kCallTimeout;
   call.reuse = transport::Reuse::kNever;
@@ -122,29 +122,29 @@
 }
 
 Result<store::Object> Platform::Read(const ObjectKey& key) const {
-  Tries tries(this->patience);
+  RetryBackoff retry_backoff(this->timeout);
   do {
-    store::ReadAnswer answer = this->TryRead(key);
+    store::ReadAnswer answer = this->AttemptRead(key);
     if (answer.status == store::ReadStatus::kFound) {
       return std::move(answer.object);
     }
     if (answer.status == store::ReadStatus::kMissing) {
       return CommandError::kNotFound;
     }
-  } while (tries.Wait());
+  } while (retry_backoff.Wait());
   return CommandError::kUnreachable;
 }
 
 Result<std::uint64_t> Platform::Write(const ObjectKey& key, const json& value,
                                       std::uint64_t if_version) const {
   ConditionalWrite write(store::Write{key, NewId(), if_version, value.dump()});
-  Tries tries(this->patience);
+  RetryBackoff retry_backoff(this->timeout);
   do {
     if (write.Next() == ConditionalWrite::Step::kWrite) {
-      write.OnWrite(this->TryWrite(write.Request()));
+      write.OnWrite(this->AttemptWrite(write.Request()));
     }
     if (write.Next() == ConditionalWrite::Step::kRead) {
-      write.OnRead(this->TryRead(key));
+      write.OnRead(this->AttemptRead(key));
     }
     if (write.Next() == ConditionalWrite::Step::kApplied) {
       return write.AppliedVersion();
@@ -152,7 +152,7 @@
     if (write.Next() == ConditionalWrite::Step::kConflict) {
       return CommandError::kConflict;
     }
-  } while (tries.Wait());
+  } while (retry_backoff.Wait());
   return CommandError::kOutcomeUnknown;
 }
 
@@ -160,7 +160,7 @@
                               std::uint64_t if_version) const {
   const std::string target =
       TargetOf(key) + "?if_version=" + std::to_string(if_version);
-  Tries tries(this->patience);
+  RetryBackoff retry_backoff(this->timeout);
   do {
     auto call = MakeCall("DELETE", this->address, target, "");
     call.total_timeout = kCallTimeout;
@@ -170,14 +170,14 @@
       return Success();
     }
     if (Answered(outcome, kConflict)) return CommandError::kConflict;
-    // No answer: the next try tells. If this one took effect it finds nothing,
-    // or the version of somebody who wrote after it.
-  } while (tries.Wait());
+    // No answer: the next attempt finds out. If this one took effect, the next
+    // finds no object, or the version of a later writer.
+  } while (retry_backoff.Wait());
   return CommandError::kOutcomeUnknown;
 }
 
 Result<std::vector<std::string>> Platform::AdminAddresses() const {
-  Tries tries(this->patience);
+  RetryBackoff retry_backoff(this->timeout);
   do {
     auto call = MakeCall("GET", this->address, "/instances", "");
     call.total_timeout = kCallTimeout;
@@ -186,12 +186,12 @@
     const json body = json::parse(outcome.body, nullptr, false);
     if (!body.is_object() || !body.contains("instances")) continue;
     std::vector<std::string> addresses;
-    for (const json& line : body["instances"]) {
-      const std::string admin = TextMember(line, "admin_address");
+    for (const json& instance : body["instances"]) {
+      const std::string admin = TextMember(instance, "admin_address");
       if (!admin.empty()) addresses.push_back(admin);
     }
     return addresses;
-  } while (tries.Wait());
+  } while (retry_backoff.Wait());
   return CommandError::kUnreachable;
 }
 
--- a/lib/command/program.cc
+++ b/lib/command/program.cc
@@ -14,11 +14,10 @@
 
 constexpr const char* kProgram = "toucanwharf";
 constexpr const char* kExitCodes =
-    "Exit codes: 0 done; 1 refused, surely without effect; 2 wrong arguments; "
-    "3 a document has problems;\n4 changed meanwhile by somebody else; 5 may "
-    "or "
-    "may not have taken effect; 6 no answer; 7 not found;\n8 incomplete or "
-    "wrong answer.\n";
+    "Exit codes: 0 done; 1 refused without effect; 2 invalid arguments; "
+    "3 a document has problems;\n4 changed concurrently by another writer; "
+    "5 may or may not have taken effect; 6 no answer;\n7 not found; "
+    "8 incomplete or wrong answer.\n";
 
 std::string EnvironmentName(const std::string& option) {
   return "TOUCANWHARF_" +
@@ -26,17 +25,17 @@
 }
 
 int PrintOverview(Streams& streams, int exit_code) {
-  std::ostream& to = exit_code == kExitOk ? streams.out : streams.err;
-  to << "Usage: " << kProgram << " SUBCOMMAND [options]\n\nSubcommands:\n";
+  std::ostream& stream = exit_code == kExitOk ? streams.out : streams.err;
+  stream << "Usage: " << kProgram << " SUBCOMMAND [options]\n\nSubcommands:\n";
   for (const Subcommand& subcommand : Subcommands()) {
     const std::string name = subcommand.name;
-    to << "  " << name << std::string(12 - name.size(), ' ')
-       << subcommand.summary << "\n";
+    stream << "  " << name << std::string(12 - name.size(), ' ')
+           << subcommand.summary << "\n";
   }
-  to << "\n"
-     << kProgram << " SUBCOMMAND --help tells the options; " << kProgram
-     << " --version the version.\n"
-     << kExitCodes;
+  stream << "\n"
+         << kProgram << " SUBCOMMAND --help prints the options; " << kProgram
+         << " --version prints the version.\n"
+         << kExitCodes;
   return exit_code;
 }
 
@@ -45,8 +44,8 @@
                            subcommand.summary);
   options.positional_help(subcommand.positional);
   options.custom_help("[options]");
-  options.add_options()("h,help", "print this")(
-      "output", "form of the result: text or json",
+  options.add_options()("h,help", "print this help")(
+      "output", "output format: text or json",
       cxxopts::value<std::string>()->default_value("text"));
   subcommand.add_options(options);
   return options;
@@ -55,23 +54,23 @@
 int RunSubcommand(const Subcommand& subcommand,
                   const std::vector<std::string>& arguments, Streams& streams) {
   cxxopts::Options options = OptionsOf(subcommand);
-  std::vector<const char*> words;
+  std::vector<const char*> argv;
   for (const std::string& argument : arguments) {
-    words.push_back(argument.c_str());
+    argv.push_back(argument.c_str());
   }
   cxxopts::ParseResult parsed;
   try {
-    parsed = options.parse(static_cast<int>(words.size()), words.data());
-    const Arguments given(parsed);
-    if (given.Flag("help")) {
+    parsed = options.parse(static_cast<int>(argv.size()), argv.data());
+    const Arguments parsed_arguments(parsed);
+    if (parsed_arguments.Flag("help")) {
       streams.out << options.help() << "\n" << kExitCodes;
       return kExitOk;
     }
-    const std::string output = given.Text("output");
+    const std::string output = parsed_arguments.Text("output");
     if (output != "text" && output != "json") {
       return Fail(streams, CommandError::kBadUsage, "--output " + output);
     }
-    return subcommand.run(given, streams);
+    return subcommand.run(parsed_arguments, streams);
   } catch (const cxxopts::exceptions::exception& error) {
     return Fail(streams, CommandError::kBadUsage, error.what());
   }
@@ -103,17 +102,17 @@
 }
 
 std::vector<std::string> Arguments::Positional() const {
-  // Not by cxxopts' positional options, which split a text at its commas.
+  // Avoids cxxopts' positional options, which split arguments at commas.
   return this->parsed.unmatched();
 }
 
 const std::vector<Subcommand>& Subcommands() {
-  static const auto* const kAll = new std::vector<Subcommand>{
+  static const auto* const kSubcommands = new std::vector<Subcommand>{
       ValidateSubcommand(), ApplySubcommand(),  GetSubcommand(),
       DeleteSubcommand(),   StatusSubcommand(), EntriesSubcommand(),
       CallSubcommand(),     DrainSubcommand(),  TimelineSubcommand(),
       LoadSubcommand(),     ExplainSubcommand()};
-  return *kAll;
+  return *kSubcommands;
 }
 
 int RunProgram(const std::vector<std::string>& arguments, Streams streams) {
@@ -126,16 +125,16 @@
     streams.out << kProgram << " " << TOUCANWHARF_VERSION << "\n";
     return kExitOk;
   }
-  const auto& all = Subcommands();
-  const auto chosen = std::find_if(all.begin(), all.end(),
-                                   [&name](const Subcommand& subcommand) {
-                                     return name == subcommand.name;
-                                   });
-  if (chosen == all.end()) {
-    streams.err << kProgram << ": no subcommand \"" << name << "\"\n\n";
+  const auto& subcommands = Subcommands();
+  const auto found = std::find_if(subcommands.begin(), subcommands.end(),
+                                  [&name](const Subcommand& subcommand) {
+                                    return name == subcommand.name;
+                                  });
+  if (found == subcommands.end()) {
+    streams.err << kProgram << ": unknown subcommand \"" << name << "\"\n\n";
     return PrintOverview(streams, kExitUsage);
   }
-  return RunSubcommand(*chosen, arguments, streams);
+  return RunSubcommand(*found, arguments, streams);
 }
 
 int Fail(Streams& streams, const std::error_code& error,
--- a/lib/command/record_files.cc
+++ b/lib/command/record_files.cc
@@ -20,7 +20,8 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-std::vector<std::string> ExpandFolders(const std::vector<std::string>& paths) {
+std::vector<std::string> ExpandDirectories(
+    const std::vector<std::string>& paths) {
   std::vector<std::string> files;
   for (const std::string& path : paths) {
     std::error_code error;
@@ -28,17 +29,17 @@
       files.push_back(path);
       continue;
     }
-    std::vector<std::string> inside;
+    std::vector<std::string> listed;
     for (const auto& entry : std::filesystem::directory_iterator(path, error)) {
-      if (entry.path().extension() == ".json") inside.push_back(entry.path());
+      if (entry.path().extension() == ".json") listed.push_back(entry.path());
     }
-    std::sort(inside.begin(), inside.end());
-    files.insert(files.end(), inside.begin(), inside.end());
+    std::sort(listed.begin(), listed.end());
+    files.insert(files.end(), listed.begin(), listed.end());
   }
   return files;
 }
 
-void AddRecord(const std::string& file, const std::string& place,
+void AddRecord(const std::string& file, const std::string& pointer_prefix,
                const json& document, RecordFiles& files) {
   auto parsed = records::ParseRecordValue(document);
   if (parsed) {
@@ -47,7 +48,7 @@
     return;
   }
   for (Problem& problem : parsed.assume_error()) {
-    problem.pointer = place + problem.pointer;
+    problem.pointer = pointer_prefix + problem.pointer;
     files.problems.push_back(FileProblem{file, std::move(problem)});
   }
 }
@@ -81,18 +82,18 @@
 
 RecordFiles ReadRecordFiles(const std::vector<std::string>& paths) {
   RecordFiles files;
-  for (const std::string& file : ExpandFolders(paths)) AddFile(file, files);
-  // The kinds of a variant stand in the order of reference: a model before its
-  // versions, these before adapters and pipelines.
+  for (const std::string& file : ExpandDirectories(paths)) AddFile(file, files);
+  // The variant lists its kinds in dependency order: a model before its
+  // versions, and these before adapters and pipelines.
   std::stable_sort(files.records.begin(), files.records.end(),
-                   [](const FileRecord& left, const FileRecord& right) {
-                     return left.record.index() < right.record.index();
+                   [](const FileRecord& lhs, const FileRecord& rhs) {
+                     return lhs.record.index() < rhs.record.index();
                    });
   return files;
 }
 
-int Report(const std::vector<FileProblem>& problems, bool as_json,
-           Streams& streams) {
+int ReportProblems(const std::vector<FileProblem>& problems, bool as_json,
+                   Streams& streams) {
   json list = json::array();
   for (const FileProblem& problem : problems) {
     json line = schema::ToJson({problem.problem})[0];
--- a/lib/command/record_files.h
+++ b/lib/command/record_files.h
@@ -10,17 +10,17 @@
 
 namespace toucanwharf::command {
 
-/// A record as it stands in a file.
+/// A record read from a file.
 struct FileRecord {
   std::string file;
-  /// The document as it was written.
+  /// The JSON document as written in the file.
   nlohmann::json document;
   records::Record record;
 
   friend bool operator==(const FileRecord&, const FileRecord&) = default;
 };
 
-/// A problem and the file that has it.
+/// A problem and the file in which it was found.
 struct FileProblem {
   std::string file;
   schema::Problem problem;
@@ -28,8 +28,8 @@
   friend bool operator==(const FileProblem&, const FileProblem&) = default;
 };
 
-/// What a set of files holds: records in the order in which they may refer to
-/// each other, and every problem.
+/// The contents of a set of files: the records, each after those that it may
+/// refer to, and all problems.
 struct RecordFiles {
   std::vector<FileRecord> records;
   std::vector<FileProblem> problems;
@@ -37,14 +37,14 @@
   friend bool operator==(const RecordFiles&, const RecordFiles&) = default;
 };
 
-/// Reads record files; a folder stands for every .json file in it. A file holds
-/// one record or an array of them. Thread safety: safe.
+/// Reads record files. A directory stands for all .json files in it; a file
+/// holds one record or an array of records. Thread safety: safe.
 RecordFiles ReadRecordFiles(const std::vector<std::string>& paths);
 
 /// Writes \p problems as text to err or as JSON to out and returns the exit
-/// code for them. Thread safety: as the streams.
-int Report(const std::vector<FileProblem>& problems, bool as_json,
-           Streams& streams);
+/// code for them. Thread safety: that of the streams.
+int ReportProblems(const std::vector<FileProblem>& problems, bool as_json,
+                   Streams& streams);
 
 }  // namespace toucanwharf::command
 
--- a/lib/command/record_status.cc
+++ b/lib/command/record_status.cc
@@ -33,8 +33,8 @@
   status.reasons = ListMember(document, "reasons");
   const auto in_force = document.find("in_force");
   if (in_force == document.end() || !in_force->is_object()) return status;
-  status.on = NumberMember(*in_force, "on");
-  status.of = NumberMember(*in_force, "of");
+  status.routers_in_force = NumberMember(*in_force, "on");
+  status.live_routers = NumberMember(*in_force, "of");
   return status;
 }
 
@@ -43,8 +43,8 @@
   text += ", record version " + std::to_string(status.record_version);
   if (status.state == "accepted") {
     text += ", generation " + std::to_string(status.generation) +
-            ", in force on " + std::to_string(status.on) + " of " +
-            std::to_string(status.of);
+            ", in force on " + std::to_string(status.routers_in_force) +
+            " of " + std::to_string(status.live_routers);
   }
   if (!status.behind.empty()) {
     text += "; behind: " + absl::StrJoin(status.behind, ", ");
@@ -58,7 +58,8 @@
 bool InForceEverywhere(const RecordStatus& status, std::uint64_t version) {
   const bool accepted =
       status.state == "accepted" && status.record_version >= version;
-  return accepted && status.of > 0 && status.on == status.of;
+  return accepted && status.live_routers > 0 &&
+         status.routers_in_force == status.live_routers;
 }
 
 bool IsRejected(const RecordStatus& status, std::uint64_t version) {
--- a/lib/command/record_status.h
+++ b/lib/command/record_status.h
@@ -8,29 +8,29 @@
 
 namespace toucanwharf::command {
 
-/// What the routers report on one record in the `status` collection.
+/// Status of one record as the routers report it in the `status` collection.
 struct RecordStatus {
-  /// "accepted", "rejected" or "waiting"; empty when nothing was reported.
+  /// "accepted", "rejected" or "waiting"; empty if not reported.
   std::string state;
-  /// Version of the record object that this speaks of.
+  /// Version of the record object that this status refers to.
   std::uint64_t record_version = 0;
   std::uint64_t generation = 0;
-  /// Routers that have it in force, of all that live.
-  std::uint64_t on = 0;
-  std::uint64_t of = 0;
-  /// Routers that don't have it yet.
+  /// Number of routers that have the record in force, and of live routers.
+  std::uint64_t routers_in_force = 0;
+  std::uint64_t live_routers = 0;
+  /// Routers that don't have it in force yet.
   std::vector<std::string> behind;
-  /// Why it is rejected or waits.
+  /// Why it is rejected or waiting.
   std::vector<std::string> reasons;
 
   friend bool operator==(const RecordStatus&, const RecordStatus&) = default;
 };
 
-/// Reads the value of a status object, which may be any bytes.
+/// Parses the value of a status object; tolerates any bytes.
 /// Thread safety: safe.
 RecordStatus ParseRecordStatus(std::string_view value);
 
-/// Returns \p status as one line for people. Thread safety: safe.
+/// Returns \p status as one human-readable line. Thread safety: safe.
 std::string ToText(const RecordStatus& status);
 
 /// Returns whether \p version of the record is in force on every router.
--- a/lib/command/records_subcommands.cc
+++ b/lib/command/records_subcommands.cc
@@ -17,28 +17,28 @@
 using records::Record;
 
 constexpr const char* kCollection = "records";
-constexpr Duration kStatusPause = std::chrono::milliseconds(100);
+constexpr Duration kStatusPollPeriod = std::chrono::milliseconds(100);
 
 std::vector<Record> RecordsIn(const store::Listing& listing) {
-  std::vector<Record> found;
+  std::vector<Record> parsed_records;
   for (const store::Object& object : listing.objects) {
     const auto parsed = records::ParseRecord(object.value);
-    if (parsed) found.push_back(parsed.assume_value().record);
+    if (parsed) parsed_records.push_back(parsed.assume_value().record);
   }
-  return found;
+  return parsed_records;
 }
 
-/// Checks the files' records as they will stand among \p others. Problems of
-/// records that no file holds are left to the status of those records.
+/// Checks references of the files' records together with \p existing. Omits
+/// problems of records that are in no file; their status reports those.
 std::vector<FileProblem> ReferenceProblems(const RecordFiles& files,
-                                           std::vector<Record> others) {
+                                           std::vector<Record> existing) {
   std::map<std::string, std::string> file_of_key;
   for (const FileRecord& record : files.records) {
     file_of_key["/" + records::KeyOf(record.record) + "/"] = record.file;
-    others.push_back(record.record);
+    existing.push_back(record.record);
   }
   std::vector<FileProblem> problems;
-  for (const schema::Problem& problem : records::CheckReferences(others)) {
+  for (const schema::Problem& problem : records::CheckReferences(existing)) {
     for (const auto& [key, file] : file_of_key) {
       if (problem.pointer.compare(0, key.size(), key) != 0) continue;
       problems.push_back(FileProblem{file, problem});
@@ -56,26 +56,27 @@
     files.problems = ReferenceProblems(files, {});
   }
   if (!files.problems.empty()) {
-    return Report(files.problems, arguments.Json(), streams);
+    return ReportProblems(files.problems, arguments.Json(), streams);
   }
   if (arguments.Json()) {
     streams.out << json{{"problems", json::array()},
                         {"records", files.records.size()}}
                 << "\n";
   } else {
-    streams.out << files.records.size() << " records are right\n";
+    streams.out << files.records.size() << " records are valid\n";
   }
   return kExitOk;
 }
 
-/// What became of one record.
-struct Applied {
+/// Outcome of a subcommand for one record.
+struct RecordOutcome {
   std::string key;
   std::string outcome;
   std::uint64_t version = 0;
 };
 
-Result<Applied> ApplyOne(const Platform& platform, const FileRecord& record) {
+Result<RecordOutcome> ApplyRecord(const Platform& platform,
+                                  const FileRecord& record) {
   const std::string key = records::KeyOf(record.record);
   const store::ObjectKey object_key{kCollection, key};
   const auto current = platform.Read(object_key);
@@ -83,32 +84,34 @@
       current.has_error() && current.error() == CommandError::kNotFound;
   if (current.has_error() && !missing) return current.error();
   const std::uint64_t version = missing ? 0 : current.value().version;
-  const bool same =
+  const bool unchanged =
       !missing && json::parse(current.value().value) == record.document;
-  if (same) return Applied{key, "unchanged", version};
+  if (unchanged) return RecordOutcome{key, "unchanged", version};
   BOOST_OUTCOME_TRY(written,
                     platform.Write(object_key, record.document, version));
-  return Applied{key, missing ? "created" : "changed", written};
+  return RecordOutcome{key, missing ? "created" : "changed", written};
 }
 
-void Print(const Applied& applied, bool as_json, Streams& streams) {
+void PrintOutcome(const RecordOutcome& record, bool as_json, Streams& streams) {
   if (as_json) {
-    streams.out << json{{"record", applied.key},
-                        {"outcome", applied.outcome},
-                        {"version", applied.version}}
+    streams.out << json{{"record", record.key},
+                        {"outcome", record.outcome},
+                        {"version", record.version}}
                 << "\n";
     return;
   }
-  streams.out << applied.key << " " << applied.outcome << ", version "
-              << applied.version << "\n";
+  streams.out << record.key << " " << record.outcome << ", version "
+              << record.version << "\n";
 }
 
-/// Waits until what was \p applied is in force on every router, and prints the
-/// status of each record that isn't by then.
-int AwaitInForce(const Platform& platform, const std::vector<Applied>& applied,
-                 Duration patience, Streams& streams) {
-  const TimePoint deadline = BootClock().Now() + patience;
-  for (const Applied& record : applied) {
+/// Waits until all \p applied records are in force on every router, and prints
+/// each record's status. Fails at the first record that is rejected or not in
+/// force within \p timeout.
+int AwaitInForce(const Platform& platform,
+                 const std::vector<RecordOutcome>& applied, Duration timeout,
+                 Streams& streams) {
+  const TimePoint deadline = BootClock().Now() + timeout;
+  for (const RecordOutcome& record : applied) {
     RecordStatus status;
     while (true) {
       const auto object = platform.Read({"status", record.key});
@@ -122,7 +125,7 @@
         return Fail(streams, CommandError::kOutcomeUnknown,
                     record.key + " not in force everywhere: " + ToText(status));
       }
-      std::this_thread::sleep_for(kStatusPause);
+      std::this_thread::sleep_for(kStatusPollPeriod);
     }
     streams.err << record.key << " " << ToText(status) << "\n";
   }
@@ -137,28 +140,28 @@
   if (!platform) return Fail(streams, platform.error(), "--platform");
   RecordFiles files = ReadRecordFiles(arguments.Positional());
   if (files.problems.empty()) {
-    const auto present = platform.value().List(kCollection);
-    if (!present) return Fail(streams, present.error(), "platform");
-    files.problems = ReferenceProblems(files, RecordsIn(present.value()));
+    const auto listing = platform.value().List(kCollection);
+    if (!listing) return Fail(streams, listing.error(), "platform");
+    files.problems = ReferenceProblems(files, RecordsIn(listing.value()));
   }
   if (!files.problems.empty()) {
-    return Report(files.problems, arguments.Json(), streams);
+    return ReportProblems(files.problems, arguments.Json(), streams);
   }
   int exit_code = kExitOk;
-  std::vector<Applied> done;
+  std::vector<RecordOutcome> applied_records;
   for (const FileRecord& record : files.records) {
-    const auto applied = ApplyOne(platform.value(), record);
+    const auto applied = ApplyRecord(platform.value(), record);
     if (!applied) {
       exit_code = Fail(streams, applied.error(), records::KeyOf(record.record));
       continue;
     }
-    Print(applied.value(), arguments.Json(), streams);
-    done.push_back(applied.value());
+    PrintOutcome(applied.value(), arguments.Json(), streams);
+    applied_records.push_back(applied.value());
   }
   const std::uint64_t wait = arguments.Number("wait-ms");
   if (exit_code != kExitOk || wait == 0) return exit_code;
-  return AwaitInForce(platform.value(), done, std::chrono::milliseconds(wait),
-                      streams);
+  return AwaitInForce(platform.value(), applied_records,
+                      std::chrono::milliseconds(wait), streams);
 }
 
 int Get(const Arguments& arguments, Streams& streams) {
@@ -200,46 +203,47 @@
     }
     const auto deleted = platform.value().Delete(key, version);
     if (!deleted) return Fail(streams, deleted.error(), name);
-    Print(Applied{name, "deleted", version}, arguments.Json(), streams);
+    PrintOutcome(RecordOutcome{name, "deleted", version}, arguments.Json(),
+                 streams);
   }
   return kExitOk;
 }
 
 void AddValidateOptions(cxxopts::Options& options) {
-  options.add_options()("references",
-                        "also check that what the records name is among them");
+  options.add_options()(
+      "references", "also check that all records referred to are in the files");
 }
 
 void AddApplyOptions(cxxopts::Options& options) {
   AddPlatformOptions(options);
   options.add_options()("wait-ms",
-                        "wait so long for the records to be in force on every "
-                        "router (0: don't wait)",
+                        "milliseconds to wait for the records to be in force "
+                        "on every router (0: don't wait)",
                         cxxopts::value<std::uint64_t>()->default_value("0"));
 }
 
 void AddDeleteOptions(cxxopts::Options& options) {
   AddPlatformOptions(options);
-  options.add_options()(
-      "if-version", "delete only this version (0: the one that is there now)",
-      cxxopts::value<std::uint64_t>()->default_value("0"));
+  options.add_options()("if-version",
+                        "delete only this version (0: the current version)",
+                        cxxopts::value<std::uint64_t>()->default_value("0"));
 }
 
 }  // namespace
 
 Subcommand ValidateSubcommand() {
-  return {"validate", "Check record files; nothing is written",
+  return {"validate", "Check record files without writing anything",
           "FILE|FOLDER...", AddValidateOptions, Validate};
 }
 
 Subcommand ApplySubcommand() {
-  return {"apply", "Write the records of files to the platform",
-          "FILE|FOLDER...", AddApplyOptions, Apply};
+  return {"apply", "Write records from files to the platform", "FILE|FOLDER...",
+          AddApplyOptions, Apply};
 }
 
 Subcommand GetSubcommand() {
-  return {"get", "Print records as they stand on the platform",
-          "[KIND.NAME...]", AddPlatformOptions, Get};
+  return {"get", "Print records stored on the platform", "[KIND.NAME...]",
+          AddPlatformOptions, Get};
 }
 
 Subcommand DeleteSubcommand() {
--- a/lib/command/router_subcommands.cc
+++ b/lib/command/router_subcommands.cc
@@ -19,7 +19,7 @@
 
 constexpr int kOk = 200;
 constexpr int kUnauthorized = 401;
-constexpr const char* kReportPrefix = "router.";
+constexpr const char* kRouterReportPrefix = "router.";
 
 bool IsOk(const HttpOutcome& outcome) {
   return outcome.end == CallEnd::kAnswered && outcome.status == kOk;
@@ -30,31 +30,32 @@
   return CommandError::kRefused;
 }
 
-HttpOutcome Ask(const Arguments& arguments, std::string_view method,
-                const std::string& address, std::string_view target) {
+HttpOutcome CallAdmin(const Arguments& arguments, std::string_view method,
+                      const std::string& address, std::string_view target) {
   return Fetch(MakeCall(method, address, target, arguments.Text("admin-key")));
 }
 
-/// One router's answer to `GET /admin/status`, or why there is none.
+/// One router's response to `GET /admin/status`, or the error.
 struct RouterStatus {
   std::string admin;
   json status;
   std::string error;
 };
 
-std::vector<RouterStatus> AskStatus(const Arguments& arguments,
-                                    const std::vector<std::string>& admins) {
-  std::vector<RouterStatus> all;
+std::vector<RouterStatus> FetchStatuses(
+    const Arguments& arguments, const std::vector<std::string>& admins) {
+  std::vector<RouterStatus> statuses;
   for (const std::string& admin : admins) {
-    const HttpOutcome outcome = Ask(arguments, "GET", admin, "/admin/status");
+    const HttpOutcome outcome =
+        CallAdmin(arguments, "GET", admin, "/admin/status");
     json status = json::parse(outcome.body, nullptr, false);
     if (IsOk(outcome) && status.is_object()) {
-      all.push_back(RouterStatus{admin, std::move(status), ""});
+      statuses.push_back(RouterStatus{admin, std::move(status), ""});
     } else {
-      all.push_back(RouterStatus{admin, json::object(), Explain(outcome)});
+      statuses.push_back(RouterStatus{admin, json::object(), Explain(outcome)});
     }
   }
-  return all;
+  return statuses;
 }
 
 std::uint64_t GenerationOf(const RouterStatus& router) {
@@ -63,7 +64,7 @@
   return found->is_number_unsigned() ? found->get<std::uint64_t>() : 0;
 }
 
-/// The newest generation that any router has in force, and where.
+/// Returns the newest generation in force on any router, and on how many.
 json Summary(const std::vector<RouterStatus>& routers) {
   std::uint64_t newest = 0;
   for (const RouterStatus& router : routers) {
@@ -89,8 +90,8 @@
   }
   json record_list = json::object();
   for (const store::Object& object : records.objects) {
-    // What each router reports of itself, for the acceptance of records.
-    if (absl::StartsWith(object.key.name, kReportPrefix)) continue;
+    // Skips each router's own report, an input to the acceptance of records.
+    if (absl::StartsWith(object.key.name, kRouterReportPrefix)) continue;
     record_list[object.key.name] = json::parse(object.value);
   }
   return {{"configuration", Summary(routers)},
@@ -127,21 +128,21 @@
     if (listing) {
       records = std::move(listing).value();
     } else {
-      streams.err << "toucanwharf: the platform does not answer; the status of "
-                     "records is missing\n";
+      streams.err << "toucanwharf: the platform does not answer; record "
+                     "statuses are missing\n";
     }
   }
-  const auto routers = AskStatus(arguments, admins.value());
+  const auto routers = FetchStatuses(arguments, admins.value());
   const json status = StatusJson(routers, records);
   if (arguments.Json()) {
     streams.out << status.dump(2) << "\n";
   } else {
     PrintStatus(status, streams.out);
   }
-  const bool all_silent = std::none_of(
+  const bool none_answered = std::none_of(
       routers.begin(), routers.end(),
       [](const RouterStatus& router) { return router.error.empty(); });
-  if (all_silent) {
+  if (none_answered) {
     return Fail(streams, CommandError::kUnreachable, "no router answers");
   }
   return kExitOk;
@@ -164,19 +165,21 @@
     error = ErrorOf(outcome);
     if (outcome.status == kUnauthorized) break;
   }
-  return Fail(streams, error, "no entry instance gave advice");
+  return Fail(streams, error, "no entry instance returned entry advice");
 }
 
 int Drain(const Arguments& arguments, Streams& streams) {
   const auto admins = arguments.List("admin");
-  // The default of the other subcommands, all routers, would stop the service.
+  // Has no default, unlike the other subcommands: draining all routers would
+  // stop the service.
   if (admins.empty()) {
     return Fail(streams, CommandError::kBadUsage,
-                "--admin has to name the routers to drain");
+                "--admin must name the routers to drain");
   }
   int exit_code = kExitOk;
   for (const std::string& admin : admins) {
-    const HttpOutcome outcome = Ask(arguments, "POST", admin, "/admin/drain");
+    const HttpOutcome outcome =
+        CallAdmin(arguments, "POST", admin, "/admin/drain");
     if (IsOk(outcome)) {
       streams.out << admin << ": draining\n";
       continue;
@@ -187,38 +190,39 @@
   return exit_code;
 }
 
-/// Reads one router's whole buffer, page by page.
-Result<timeline::Page> AskTimeline(const Arguments& arguments,
-                                   const std::string& admin, Streams& streams) {
-  timeline::Page whole;
+/// Reads the whole timeline buffer of one router, page by page.
+Result<timeline::Page> FetchTimeline(const Arguments& arguments,
+                                     const std::string& admin,
+                                     Streams& streams) {
+  timeline::Page combined;
   std::uint64_t after = 0;
   while (true) {
     const HttpOutcome outcome =
-        Ask(arguments, "GET", admin,
-            "/admin/timeline?after=" + std::to_string(after));
+        CallAdmin(arguments, "GET", admin,
+                  "/admin/timeline?after=" + std::to_string(after));
     if (!IsOk(outcome)) {
       streams.err << admin << ": " << Explain(outcome) << "\n";
       return ErrorOf(outcome);
     }
     BOOST_OUTCOME_TRY(page, timeline::ParsePage(outcome.body));
-    whole.instance = page.instance;
-    whole.dropped = page.dropped;
-    if (page.events.empty()) return whole;
+    combined.instance = page.instance;
+    combined.dropped = page.dropped;
+    if (page.events.empty()) return combined;
     const std::uint64_t last = page.events.back().sequence;
-    // A router that counts back would be asked for ever.
-    if (last <= after) return whole;
+    // Guards against an endless loop if sequence numbers do not increase.
+    if (last <= after) return combined;
     after = last;
-    whole.events.insert(whole.events.end(), page.events.begin(),
-                        page.events.end());
+    combined.events.insert(combined.events.end(), page.events.begin(),
+                           page.events.end());
   }
 }
 
-std::vector<timeline::Page> AskTimelines(const Arguments& arguments,
-                                         const std::vector<std::string>& admins,
-                                         Streams& streams) {
+std::vector<timeline::Page> FetchTimelines(
+    const Arguments& arguments, const std::vector<std::string>& admins,
+    Streams& streams) {
   std::vector<timeline::Page> pages;
   for (const std::string& admin : admins) {
-    auto page = AskTimeline(arguments, admin, streams);
+    auto page = FetchTimeline(arguments, admin, streams);
     if (!page) {
       streams.err << admin << ": " << page.error().message() << "\n";
       continue;
@@ -232,7 +236,7 @@
   return pages;
 }
 
-std::vector<timeline::MergedEvent> OnlyRequest(
+std::vector<timeline::MergedEvent> FilterByRequest(
     std::vector<timeline::MergedEvent> events, const std::string& request) {
   if (request.empty()) return events;
   std::erase_if(events, [&request](const timeline::MergedEvent& merged) {
@@ -246,12 +250,12 @@
   if (!admins) {
     return Fail(streams, admins.error(), "--admin or --platform");
   }
-  const auto pages = AskTimelines(arguments, admins.value(), streams);
+  const auto pages = FetchTimelines(arguments, admins.value(), streams);
   if (pages.empty()) {
     return Fail(streams, CommandError::kUnreachable, "no router answers");
   }
   const auto events =
-      OnlyRequest(timeline::Merge(pages), arguments.Text("request"));
+      FilterByRequest(timeline::Merge(pages), arguments.Text("request"));
   const std::string format = arguments.Text("format");
   if (format == "chrome") {
     streams.out << timeline::ToChromeTrace(events) << "\n";
@@ -278,21 +282,22 @@
 }  // namespace
 
 Subcommand StatusSubcommand() {
-  return {"status", "Tell what is in force where", "", AddAdminOptions, Status};
+  return {"status", "Show what is in force on which routers", "",
+          AddAdminOptions, Status};
 }
 
 Subcommand EntriesSubcommand() {
-  return {"entries", "Ask which entry instances to use", "", AddCallerOptions,
+  return {"entries", "List the entry instances to use", "", AddCallerOptions,
           Entries};
 }
 
 Subcommand DrainSubcommand() {
-  return {"drain", "Stop routers without cutting a request", "",
+  return {"drain", "Stop routers without aborting requests", "",
           AddAdminOptions, Drain};
 }
 
 Subcommand TimelineSubcommand() {
-  return {"timeline", "Print what happened on all routers, in order", "",
+  return {"timeline", "Print the events of all routers in order", "",
           AddTimelineOptions, Timeline};
 }
 
--- a/lib/command/subcommands.h
+++ b/lib/command/subcommands.h
@@ -3,7 +3,7 @@
 
 #include "toucanwharf/command/arguments.h"
 
-/// The subcommands, each made in a file of its own.
+/// Factories of the subcommands.
 namespace toucanwharf::command {
 
 inline constexpr int kExitUsage = static_cast<int>(CommandError::kBadUsage);
--- a/unittests/command/answer_session_test.cc
+++ b/unittests/command/answer_session_test.cc
@@ -28,7 +28,7 @@
   return transport::FormatEvent(chunk.dump());
 }
 
-HttpOutcome Broken() {
+HttpOutcome LostConnection() {
   HttpOutcome outcome;
   outcome.sent = true;
   return outcome;
@@ -48,44 +48,44 @@
   BOOST_TEST(session.OnBytes(TokenEvent("r", 0) + TokenEvent("r", 1)) == 2u);
   session.OnBytes(transport::FormatEvent("[DONE]"));
   session.OnEnd(Answer(200));
-  BOOST_TEST((session.Status() == State::kWhole));
+  BOOST_TEST((session.Status() == State::kComplete));
   BOOST_TEST(session.Tokens().size() == 2u);
 }
 
 // The router that streams an answer is killed after two tokens. The caller
-// sees the connection close and takes two tokens for the answer.
+// must not treat the closed connection as the end of the answer.
 BOOST_AUTO_TEST_CASE(BrokenStreamIsResumedElsewhere) {
   AnswerSession session(Query(), kEntries);
   session.OnBytes(TokenEvent("r", 0) + TokenEvent("r", 1));
-  session.OnEnd(Broken());
+  session.OnEnd(LostConnection());
   BOOST_TEST((session.Next() == AnswerStep{Kind::kResume, "b:1"}));
   BOOST_TEST(session.Call("k").url == "http://b:1/v1/requests/r?from=2");
   session.OnBytes(TokenEvent("r", 2) + transport::FormatEvent("[DONE]"));
   session.OnEnd(Answer(200));
-  BOOST_TEST((session.Status() == State::kWhole));
+  BOOST_TEST((session.Status() == State::kComplete));
   BOOST_TEST(session.Tokens().size() == 3u);
   BOOST_TEST(session.Interruptions() == 1u);
 }
 
-// Nobody else knows the answer of the killed router. Asking anew brings the
-// first tokens a second time; appended, the caller would read them twice.
-BOOST_AUTO_TEST_CASE(UnknownAnswerIsAskedAnewAndJoined) {
+// No other router knows the answer of the killed one. The repeated request
+// yields the first tokens a second time; the caller must not append them again.
+BOOST_AUTO_TEST_CASE(UnknownAnswerIsRequestedAgainAndMerged) {
   AnswerSession session(Query(), kEntries);
   session.OnBytes(TokenEvent("r", 0) + TokenEvent("r", 1));
-  session.OnEnd(Broken());
+  session.OnEnd(LostConnection());
   session.OnEnd(Answer(404));
   BOOST_TEST((session.Next() == AnswerStep{Kind::kResume, "c:1"}));
   session.OnEnd(Answer(404));
-  BOOST_TEST((session.Next().kind == Kind::kAsk));
+  BOOST_TEST((session.Next().kind == Kind::kRequest));
   session.OnBytes(TokenEvent("s", 0) + TokenEvent("s", 1) + TokenEvent("s", 2) +
                   transport::FormatEvent("[DONE]"));
   session.OnEnd(Answer(200));
-  BOOST_TEST((session.Status() == State::kWhole));
+  BOOST_TEST((session.Status() == State::kComplete));
   BOOST_TEST(session.Tokens().size() == 3u);
 }
 
-// The stream closes in order, but without its final event: half an answer that
-// looks whole.
+// The stream closes cleanly but without its final event: a partial answer must
+// not pass for a complete one.
 BOOST_AUTO_TEST_CASE(EndWithoutFinalEventIsNotTheEnd) {
   AnswerSession session(Query(), kEntries);
   session.OnBytes(TokenEvent("r", 0));
@@ -98,10 +98,10 @@
   AnswerSession session(Query(), kEntries);
   session.OnBytes(TokenEvent("r", 0) + TokenEvent("r", 2));
   session.OnEnd(Answer(200));
-  BOOST_TEST((session.Status() == State::kBroken));
+  BOOST_TEST((session.Status() == State::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(RefusalIsFinalAndKeepsWhatItSays) {
+BOOST_AUTO_TEST_CASE(RefusalIsFinalAndKeepsItsDetails) {
   AnswerSession session(Query(), kEntries);
   session.OnEnd(Answer(503, {{"error", {{"message", "busy"}, {"code", "busy"}}},
                              {"ran", "no"},
@@ -110,10 +110,10 @@
   BOOST_TEST((session.Failure() == AnswerFailure{503, "busy", "no", 3}));
 }
 
-BOOST_AUTO_TEST_CASE(InstanceThatIsNotReadyIsPassedOver) {
+BOOST_AUTO_TEST_CASE(InstanceThatIsNotReadyIsSkipped) {
   AnswerSession session(Query(), kEntries);
   session.OnEnd(Answer(503, {{"error", {{"code", "not_ready"}}}}));
-  BOOST_TEST((session.Next() == AnswerStep{Kind::kAsk, "b:1"}));
+  BOOST_TEST((session.Next() == AnswerStep{Kind::kRequest, "b:1"}));
 }
 
 BOOST_AUTO_TEST_CASE(ErrorEventBreaksTheAnswer) {
@@ -122,7 +122,7 @@
   session.OnBytes(transport::FormatEvent(
       R"({"error": {"message": "stage lost"}, "ran": "partly"})"));
   session.OnEnd(Answer(200));
-  BOOST_TEST((session.Status() == State::kBroken));
+  BOOST_TEST((session.Status() == State::kFailed));
   BOOST_TEST(session.Failure().ran == "partly");
 }
 
@@ -133,7 +133,7 @@
     BOOST_REQUIRE(++calls < 100);
     session.OnEnd(HttpOutcome{});
   }
-  BOOST_TEST((session.Status() == State::kBroken));
+  BOOST_TEST((session.Status() == State::kFailed));
   BOOST_TEST(session.Interruptions() == 0u);
 }
 
@@ -141,10 +141,10 @@
               (const std::vector<std::uint8_t>& cuts)) {
   constexpr std::uint32_t kLength = 6;
   AnswerSession session(Query(), kEntries);
-  for (std::size_t at = 0; session.Next().kind != Kind::kEnd; ++at) {
+  for (std::size_t call = 0; session.Next().kind != Kind::kEnd; ++call) {
     const bool resume = session.Next().kind == Kind::kResume;
-    const bool known = at < cuts.size() && cuts[at] % 3 != 0;
-    if (resume && !known) {
+    const bool resumable = call < cuts.size() && cuts[call] % 3 != 0;
+    if (resume && !resumable) {
       session.OnEnd(Answer(404));
       continue;
     }
@@ -152,15 +152,15 @@
         resume ? static_cast<std::uint32_t>(session.Tokens().size()) : 0;
     std::string bytes;
     for (std::uint32_t index = from; index < kLength; ++index) {
-      bytes += TokenEvent("r" + std::to_string(at), index);
+      bytes += TokenEvent("r" + std::to_string(call), index);
     }
     bytes += transport::FormatEvent("[DONE]");
-    const std::size_t keep =
-        at < cuts.size() ? bytes.size() * cuts[at] / 256 : bytes.size();
-    session.OnBytes(bytes.substr(0, keep));
-    session.OnEnd(Broken());
+    const std::size_t received =
+        call < cuts.size() ? bytes.size() * cuts[call] / 256 : bytes.size();
+    session.OnBytes(bytes.substr(0, received));
+    session.OnEnd(LostConnection());
   }
-  RC_ASSERT(session.Status() != State::kWhole ||
+  RC_ASSERT(session.Status() != State::kComplete ||
             session.Tokens().size() == kLength);
   for (std::size_t index = 0; index < session.Tokens().size(); ++index) {
     RC_ASSERT(session.Tokens()[index] == " w" + std::to_string(index));
@@ -171,7 +171,7 @@
   AnswerSession session(Query(), kEntries);
   session.OnBytes("data: " + bytes + "\n\n");
   session.OnEnd(Answer(200));
-  RC_ASSERT(session.Status() != State::kWhole || !bytes.empty());
+  RC_ASSERT(session.Status() != State::kComplete || !bytes.empty());
 }
 
 }  // namespace
--- a/unittests/command/load_test.cc
+++ b/unittests/command/load_test.cc
@@ -12,13 +12,13 @@
 
 BOOST_AUTO_TEST_CASE(ArrivalsRepeatForASeedAndDifferBetweenSeeds) {
   ArrivalSource first(*FindProfile("atlas"), kRate, 7);
-  ArrivalSource again(*FindProfile("atlas"), kRate, 7);
-  ArrivalSource other(*FindProfile("atlas"), kRate, 8);
+  ArrivalSource same_seed(*FindProfile("atlas"), kRate, 7);
+  ArrivalSource other_seed(*FindProfile("atlas"), kRate, 8);
   bool differs = false;
   for (int count = 0; count < 100; ++count) {
     const Arrival arrival = first.Next();
-    BOOST_TEST((arrival == again.Next()));
-    differs = differs || !(arrival == other.Next());
+    BOOST_TEST((arrival == same_seed.Next()));
+    differs = differs || !(arrival == other_seed.Next());
   }
   BOOST_TEST(differs);
 }
@@ -34,9 +34,9 @@
     ++by_customer[last.customer];
     if (last.to_service) ++to_service;
   }
-  const double seconds = static_cast<double>(last.at.count()) / 1e6;
+  const double seconds = static_cast<double>(last.offset.count()) / 1e6;
   BOOST_TEST(kArrivals / seconds == kRate, boost::test_tools::tolerance(0.05));
-  BOOST_TEST(to_service / double{kArrivals} == profile.service_part,
+  BOOST_TEST(to_service / double{kArrivals} == profile.service_fraction,
              boost::test_tools::tolerance(0.05));
   BOOST_TEST(by_customer[0] / static_cast<double>(by_customer[2]) == 6.0,
              boost::test_tools::tolerance(0.1));
--- a/unittests/command/platform_test.cc
+++ b/unittests/command/platform_test.cc
@@ -18,8 +18,8 @@
 
 const store::ObjectKey kKey{"records", "model.m"};
 
-/// One object behind the object API, and answers that get lost: the change is
-/// made, the caller gets 503.
+/// Serves one object over the object API. A lost answer is simulated by making
+/// the change and responding with 503.
 class FakePlatform {
  public:
   FakePlatform()
@@ -77,10 +77,10 @@
   std::unique_ptr<transport::HttpServer> server;
 };
 
-// An operator applies a record; the platform makes the change and the answer
-// is lost. A plain retry meets its own write and reports a conflict with
-// somebody else, and the operator goes looking for whom.
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAsTheOwnWrite) {
+// The platform applies a write, but its answer is lost. A plain retry would
+// find the new version and report a conflict with another writer that doesn't
+// exist.
+BOOST_AUTO_TEST_CASE(LostAnswerIsRecognizedAsTheClientsOwnWrite) {
   FakePlatform fake;
   fake.lose_answers = 1;
   const auto written = fake.Client().Write(kKey, 1, 0);
@@ -96,11 +96,11 @@
               make_error_code(CommandError::kConflict)));
 }
 
-BOOST_AUTO_TEST_CASE(SilentPlatformLeavesTheOutcomeUnknown) {
-  const Platform nobody("127.0.0.1:1", std::chrono::milliseconds(100));
-  BOOST_TEST((nobody.Write(kKey, 1, 0).error() ==
+BOOST_AUTO_TEST_CASE(UnresponsivePlatformLeavesTheOutcomeUnknown) {
+  const Platform unreachable("127.0.0.1:1", std::chrono::milliseconds(100));
+  BOOST_TEST((unreachable.Write(kKey, 1, 0).error() ==
               make_error_code(CommandError::kOutcomeUnknown)));
-  BOOST_TEST((nobody.Read(kKey).error() ==
+  BOOST_TEST((unreachable.Read(kKey).error() ==
               make_error_code(CommandError::kUnreachable)));
 }
 
--- a/unittests/command/program_test.cc
+++ b/unittests/command/program_test.cc
@@ -13,21 +13,21 @@
 namespace toucanwharf::command {
 namespace {
 
-/// One run of the program.
-struct Ran {
+/// Exit code and output of one run of the program.
+struct RunResult {
   int exit_code;
   std::string out;
   std::string err;
 };
 
-Ran Run(const std::vector<std::string>& arguments) {
+RunResult Run(const std::vector<std::string>& arguments) {
   std::ostringstream out;
   std::ostringstream err;
   const int exit_code = RunProgram(arguments, {out, err});
   return {exit_code, out.str(), err.str()};
 }
 
-/// A file that is gone after the test.
+/// A file that is deleted when the object is destroyed.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
@@ -49,14 +49,14 @@
 
 BOOST_AUTO_TEST_CASE(EverySubcommandHasHelpWithExitCodes) {
   for (const Subcommand& subcommand : Subcommands()) {
-    const Ran ran = Run({subcommand.name, "--help"});
-    BOOST_TEST(ran.exit_code == 0);
-    BOOST_TEST((ran.out.find("Exit codes") != std::string::npos));
+    const RunResult result = Run({subcommand.name, "--help"});
+    BOOST_TEST(result.exit_code == 0);
+    BOOST_TEST((result.out.find("Exit codes") != std::string::npos));
   }
 }
 
 BOOST_AUTO_TEST_CASE(WrongArgumentsGiveExitCodeTwo) {
-  const std::vector<std::vector<std::string>> wrong = {
+  const std::vector<std::vector<std::string>> invalid_calls = {
       {},
       {"bogus"},
       {"apply"},
@@ -65,19 +65,19 @@
       {"entries"},
       {"drain"},
       {"load", "--rate", "zero"}};
-  for (const auto& arguments : wrong) {
+  for (const auto& arguments : invalid_calls) {
     BOOST_TEST(Run(arguments).exit_code == 2);
   }
 }
 
-BOOST_AUTO_TEST_CASE(ValidateTellsEveryProblemWithItsPlace) {
+BOOST_AUTO_TEST_CASE(ValidateReportsEveryProblemWithItsPointer) {
   const TemporaryFile file(R"([
     {"schema": "toucanwharf/v1", "kind": "model", "name": "m",
      "spec": {"layers": 0, "bytes_per_layer": 1, "kv_bytes_per_token": 1}},
     {"schema": "toucanwharf/v2", "kind": "customer", "name": "c", "spec": {}}])");
-  const Ran ran = Run({"validate", "--output", "json", file.Path()});
-  BOOST_TEST(ran.exit_code == 3);
-  const auto problems = nlohmann::json::parse(ran.out)["problems"];
+  const RunResult result = Run({"validate", "--output", "json", file.Path()});
+  BOOST_TEST(result.exit_code == 3);
+  const auto problems = nlohmann::json::parse(result.out)["problems"];
   BOOST_REQUIRE(problems.size() == 2u);
   BOOST_TEST(problems[0]["pointer"] == "/0/spec/layers");
   BOOST_TEST(problems[1]["pointer"] == "/1/spec/key");
@@ -91,17 +91,17 @@
   BOOST_TEST(Run({"validate", "--references", file.Path()}).exit_code == 3);
 }
 
-// A caller's prompt has a comma in it; the option parser splits it there, and
-// the caller is told that the number of arguments is wrong.
+// The option parser splits positional arguments at commas: a prompt with a
+// comma would be rejected for a wrong number of arguments.
 BOOST_AUTO_TEST_CASE(CommasInArgumentsAreKept) {
-  const Ran ran = Run({"validate", "/no/such, file.json"});
-  BOOST_TEST((ran.err.find("/no/such, file.json: ") != std::string::npos));
+  const RunResult result = Run({"validate", "/no/such, file.json"});
+  BOOST_TEST((result.err.find("/no/such, file.json: ") != std::string::npos));
 }
 
 BOOST_AUTO_TEST_CASE(MissingFileIsAProblem) {
-  const Ran ran = Run({"validate", "/no/such/file.json"});
-  BOOST_TEST(ran.exit_code == 3);
-  BOOST_TEST((ran.err.find("correct the path") != std::string::npos));
+  const RunResult result = Run({"validate", "/no/such/file.json"});
+  BOOST_TEST(result.exit_code == 3);
+  BOOST_TEST((result.err.find("correct the path") != std::string::npos));
 }
 
 }  // namespace
