--- a/tools/toucanwharfd/main.cc
+++ b/tools/toucanwharfd/main.cc
@@ -14,7 +14,7 @@
 #include "platform/settings.h"
 #include "toucanwharf/instance/instance.h"
 #include "toucanwharfd/exit_codes.h"
-#include "toucanwharfd/own_interface.h"
+#include "toucanwharfd/native_interface.h"
 
 namespace {
 
@@ -23,17 +23,18 @@
 using toucanwharf::tools::kExitCannotListen;
 using toucanwharf::tools::kExitOk;
 
-/// Settings are read at the start only, and a reload signal that comes before
-/// its handler is there would end the process.
-void IgnoreReloads(int /*count*/, char** /*words*/, char** /*variables*/) {
+/// Settings are read only at startup, and a reload signal that arrives before
+/// its handler is installed would terminate the process.
+void IgnoreReloadSignal(int /*argc*/, char** /*argv*/, char** /*envp*/) {
   std::signal(SIGHUP, SIG_IGN);
 }
 
-/// The loader calls this first of all, but only after it has loaded the
-/// libraries that the program is linked to: those are few, and the own
-/// interface with its many is loaded later.
+/// The dynamic loader calls this before all other initializers, but only after
+/// it has loaded the libraries that the program is linked to. Those are few;
+/// the native interface, which needs many, is loaded later.
 [[gnu::section(".preinit_array"),
-  gnu::used]] void (*const kFirst)(int, char**, char**) = &IgnoreReloads;
+  gnu::used]] void (*const kPreinitHook)(int, char**,
+                                         char**) = &IgnoreReloadSignal;
 
 std::optional<std::string> ReadFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -41,34 +42,34 @@
   return std::string(std::istreambuf_iterator<char>(file), {});
 }
 
-/// Runs as one of the users' platform's processes, whose settings file the
-/// environment names.
-int ServePlatform(const std::string& without) {
+/// Runs as a process of the users' platform, with the settings file that the
+/// environment names. \p disabled lists mechanisms to switch off.
+int ServePlatform(const std::string& disabled) {
   const char* path =
       std::getenv(toucanwharf::adapter::names::kSettingsVariable);
   const auto text = ReadFile(path == nullptr ? "" : path);
   if (!text) {
     std::cerr << toucanwharf::adapter::names::kSettingsVariable
-              << " must name a settings file that can be read\n";
+              << " must name a readable settings file\n";
     return kExitBadSettings;
   }
   auto parsed = toucanwharf::adapter::ParsePlatformSettings(*text);
   for (const std::string& problem : parsed.problems) {
     std::cerr << path << ": " << problem << "\n";
   }
-  const auto switched = toucanwharf::instance::WithoutMechanisms(without);
-  for (const std::string& problem : switched.problems) {
+  const auto selection = toucanwharf::instance::WithoutMechanisms(disabled);
+  for (const std::string& problem : selection.problems) {
     std::cerr << "toucanwharfd: --without: " << problem << "\n";
   }
-  if (!switched.problems.empty()) return kExitBadUsage;
+  if (!selection.problems.empty()) return kExitBadUsage;
   if (!parsed.problems.empty()) return kExitBadSettings;
-  parsed.settings.mechanisms = switched.mechanisms;
+  parsed.settings.mechanisms = selection.mechanisms;
   std::signal(SIGPIPE, SIG_IGN);
   toucanwharf::instance::Instance<toucanwharf::adapter::PlatformAdapter>
       instance(parsed.settings, STDOUT_FILENO);
-  const auto ended = instance.Run();
-  if (ended) return kExitOk;
-  std::cerr << "toucanwharfd: cannot listen: " << ended.error().message()
+  const auto result = instance.Run();
+  if (result) return kExitOk;
+  std::cerr << "toucanwharfd: cannot listen: " << result.error().message()
             << "\n";
   return kExitCannotListen;
 }
@@ -80,9 +81,9 @@
   options.add_options()("settings", "Settings file (JSON)",
                         cxxopts::value<std::string>())(
       "platform",
-      "Run on the users' platform, with the settings that it names")(
+      "Run on the users' platform, with the settings file that it provides")(
       "without",
-      "Mechanisms to switch off, with commas between; for measurements, with "
+      "Comma-separated mechanisms to switch off, for measurements; needs "
       "--platform",
       cxxopts::value<std::string>()->default_value(""))(
       "check-settings", "Check the settings file and exit")(
@@ -106,10 +107,10 @@
     return ServePlatform(arguments["without"].as<std::string>());
   }
   if (arguments.count("settings") == 0) {
-    std::cerr << "toucanwharfd: --settings FILE is needed; see --help\n";
+    std::cerr << "toucanwharfd: --settings FILE is required; see --help\n";
     return kExitBadUsage;
   }
-  return toucanwharf::tools::ServeOwnInterface(
+  return toucanwharf::tools::ServeNativeInterface(
       argv[0], arguments["settings"].as<std::string>(),
       arguments.count("check-settings") > 0);
 }
--- a/tools/toucanwharfd/module/serve.cc
+++ b/tools/toucanwharfd/module/serve.cc
@@ -28,7 +28,7 @@
 std::optional<Settings> LoadSettings(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
-    std::cerr << path << ": cannot be read; give an existing file\n";
+    std::cerr << path << ": cannot be read; name a readable file\n";
     return std::nullopt;
   }
   const auto parsed =
@@ -49,8 +49,8 @@
 }
 
 int Serve(const Settings& settings) {
-  // Blocked before any thread starts, so that only the waiting thread below
-  // gets them.
+  // Blocked before any thread starts, so that only the thread below that waits
+  // for these signals receives them.
   const sigset_t signals = StopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   signal(SIGPIPE, SIG_IGN);
@@ -59,15 +59,15 @@
     std::cerr << "toucanwharfd: " << router.error().message() << "\n";
     return kExitCannotListen;
   }
-  std::thread waiter([&router, &signals] {
+  std::thread signal_waiter([&router, &signals] {
     int signal_number = 0;
     sigwait(&signals, &signal_number);
     router.value()->Drain();
   });
   router.value()->Run();
-  // Wakes the waiter when the drain was asked for by an operator.
+  // Wakes the waiting thread if the drain was requested by an operator.
   kill(getpid(), SIGTERM);
-  waiter.join();
+  signal_waiter.join();
   return kExitOk;
 }
 
@@ -79,7 +79,7 @@
   const auto settings = LoadSettings(settings_file);
   if (!settings) return kExitBadSettings;
   if (check_only) {
-    std::cout << "settings are right\n";
+    std::cout << "settings are valid\n";
     return kExitOk;
   }
   FLAGS_logtostderr = true;
--- a/tools/toucanwharfd/module/serve.h
+++ b/tools/toucanwharfd/module/serve.h
@@ -1,20 +1,20 @@
 #ifndef TOUCANWHARF_TOOLS_TOUCANWHARFD_MODULE_SERVE_H_
 #define TOUCANWHARF_TOOLS_TOUCANWHARFD_MODULE_SERVE_H_
 
-/// The module libtoucanwharf_router.so: the router with the product's own
-/// interface, gRPC and the other libraries that the platform's processes don't
-/// need. They are loaded after the program has shielded itself from reload
-/// signals, which loading them before its first line would leave it open to for
-/// tens of milliseconds.
+/// The module libtoucanwharf_router.so: the router with its native interface,
+/// gRPC and the other libraries that the platform's processes don't need. The
+/// program loads it once reload signals are ignored: linking these libraries
+/// would let a reload signal kill the program during the tens of milliseconds
+/// in which they load.
 namespace toucanwharf::tools {
 
-/// Runs the router with the settings in the file \p settings_file until it was
-/// told to stop, or only checks these for \p check_only. Returns the program's
+/// Runs the router with the settings in \p settings_file until it is stopped or
+/// drained, or only checks them if \p check_only is set. Returns the program's
 /// exit code.
 using ServeFunction = int (*)(const char* program, const char* settings_file,
                               bool check_only);
 
-/// The name under which the module exports it.
+/// Name of the symbol that the module exports.
 inline constexpr const char* kServeFunctionName = "ToucanwharfServe";
 
 }  // namespace toucanwharf::tools
--- a/tools/toucanwharfd/own_interface.cc
+++ b/tools/toucanwharfd/native_interface.cc
@@ -1,4 +1,4 @@
-#include "toucanwharfd/own_interface.h"
+#include "toucanwharfd/native_interface.h"
 
 #include <dlfcn.h>
 
@@ -10,19 +10,19 @@
 namespace toucanwharf::tools {
 namespace {
 
-/// Beside the program, whose run path names its folder.
-constexpr const char* kModule = "libtoucanwharf_router.so";
+/// The module is in the program's directory, which its run path contains.
+constexpr const char* kModuleFile = "libtoucanwharf_router.so";
 
 }  // namespace
 
-int ServeOwnInterface(const char* program, const std::string& settings_file,
-                      bool check_only) {
-  void* const module = dlopen(kModule, RTLD_NOW | RTLD_LOCAL);
+int ServeNativeInterface(const char* program, const std::string& settings_file,
+                         bool check_only) {
+  void* const module = dlopen(kModuleFile, RTLD_NOW | RTLD_LOCAL);
   void* const symbol =
       module == nullptr ? nullptr : dlsym(module, kServeFunctionName);
   if (symbol == nullptr) {
     std::cerr << program << ": " << dlerror() << "; build the target "
-              << "toucanwharf_router and keep it beside this program\n";
+              << "toucanwharf_router and keep it in this program's directory\n";
     return kExitNoModule;
   }
   const auto serve = reinterpret_cast<ServeFunction>(symbol);
