--- a/lib/command/call_subcommand.cc
+++ b/lib/command/call_subcommand.cc
@@ -19,7 +19,7 @@
 using transport::HttpOutcome;
 
 constexpr int kOk = 200;
-constexpr int kFirstError = 400;
+constexpr int kFirstErrorStatus = 400;
 constexpr Duration kRetryDelay = std::chrono::milliseconds(200);
 
 /// Returns the advised entry addresses followed by those of --entry; with
@@ -179,7 +179,7 @@
     // goes to another entry instance (I4).
     if (outcome.sent || outcome.end == CallEnd::kAnswered) break;
   }
-  if (outcome.end == CallEnd::kAnswered && outcome.status < kFirstError) {
+  if (outcome.end == CallEnd::kAnswered && outcome.status < kFirstErrorStatus) {
     streams.out << outcome.body << "\n";
     return kExitOk;
   }
--- a/lib/command/load_runner.cc
+++ b/lib/command/load_runner.cc
@@ -16,7 +16,7 @@
 using transport::HttpOutcome;
 
 constexpr int kOk = 200;
-constexpr int kFirstError = 400;
+constexpr int kFirstErrorStatus = 400;
 constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kIdleCheckPeriod = std::chrono::milliseconds(250);
 constexpr Duration kProgressPeriod = std::chrono::seconds(1);
@@ -181,7 +181,7 @@
 
 void LoadRunner::EndService(const HttpOutcome& outcome, TimePoint planned) {
   const bool answered = outcome.end == CallEnd::kAnswered;
-  if (answered && outcome.status < kFirstError) {
+  if (answered && outcome.status < kFirstErrorStatus) {
     ++this->report.service_done;
     this->report.service_totals.push_back(this->loop.Now() - planned);
   } else if (answered) {
--- a/lib/command/load_subcommand.cc
+++ b/lib/command/load_subcommand.cc
@@ -31,8 +31,9 @@
   const std::string model = arguments.Text("model");
   if (!model.empty()) options.profile.model = model;
   const double service_fraction = arguments.Real("service-part");
-  if (service_fraction >= 0)
+  if (service_fraction >= 0) {
     options.profile.service_fraction = service_fraction;
+  }
   const bool valid = options.rate > 0 && !options.entries.empty();
   if (!valid) return CommandError::kBadUsage;
   if (!arguments.Flag("verify")) return options;
