--- a/bench/decisions/bound.cc
+++ b/bench/decisions/bound.cc
@@ -19,45 +19,45 @@
             boost::edge_residual_capacity_t, std::int64_t,
             boost::property<boost::edge_reverse_t, Traits::edge_descriptor>>>>;
 
-/// Flow is counted in millionths of a request a second.
-constexpr double kScale = 1e6;
+/// The algorithm needs integers: flow is in millionths of a request per second.
+constexpr double kFlowUnitsPerRequest = 1e6;
 
 constexpr int kSampleSize = 200000;
 
-/// A graph in which each edge has its reverse, as the algorithm needs.
+/// A graph with the reverse edges that push_relabel_max_flow requires.
 class FlowNetwork {
  public:
   std::size_t AddNode() { return boost::add_vertex(this->graph); }
 
   void AddEdge(std::size_t from, std::size_t to, double requests_per_second) {
-    const auto capacity =
-        static_cast<std::int64_t>(std::floor(requests_per_second * kScale));
+    const auto capacity = static_cast<std::int64_t>(
+        std::floor(requests_per_second * kFlowUnitsPerRequest));
     const auto edge = boost::add_edge(from, to, this->graph).first;
-    const auto back = boost::add_edge(to, from, this->graph).first;
+    const auto reverse = boost::add_edge(to, from, this->graph).first;
     boost::put(boost::edge_capacity, this->graph, edge, capacity);
-    boost::put(boost::edge_capacity, this->graph, back, std::int64_t{0});
-    boost::put(boost::edge_reverse, this->graph, edge, back);
-    boost::put(boost::edge_reverse, this->graph, back, edge);
+    boost::put(boost::edge_capacity, this->graph, reverse, std::int64_t{0});
+    boost::put(boost::edge_reverse, this->graph, edge, reverse);
+    boost::put(boost::edge_reverse, this->graph, reverse, edge);
   }
 
   double MaxFlow(std::size_t source, std::size_t sink) {
     const std::int64_t flow =
         boost::push_relabel_max_flow(this->graph, source, sink);
-    return static_cast<double>(flow) / kScale;
+    return static_cast<double>(flow) / kFlowUnitsPerRequest;
   }
 
  private:
   Graph graph;
 };
 
-/// Means of the mix of requests on one chain.
+/// Mean resource demand of a request on one chain.
 struct Demand {
   double hold_seconds = 0;
   double kv_token_seconds = 0;
   double output_tokens = 0;
 };
 
-Demand Measure(const Chain& chain, const std::vector<Job>& jobs) {
+Demand MeanDemand(const Chain& chain, const std::vector<Job>& jobs) {
   Demand demand;
   for (const Job& job : jobs) {
     const double hold = chain.PrefillSeconds(job.prompt_tokens) +
@@ -84,17 +84,17 @@
 
 Bound ComputeBound(const std::vector<Chain>& fleet,
                    const std::vector<Job>& jobs) {
-  // Chains repeat after four; their demand is computed once.
+  // The fleet repeats four kinds of chain, so four demands suffice.
   std::vector<Demand> demands;
-  for (std::size_t at = 0; at < 4; ++at) {
-    demands.push_back(Measure(fleet[at], jobs));
+  for (std::size_t index = 0; index < 4; ++index) {
+    demands.push_back(MeanDemand(fleet[index], jobs));
   }
   FlowNetwork network;
   const std::size_t source = network.AddNode();
   const std::size_t sink = network.AddNode();
-  for (std::size_t at = 0; at < fleet.size(); ++at) {
-    const Chain& chain = fleet[at];
-    const Demand& demand = demands[at % demands.size()];
+  for (std::size_t index = 0; index < fleet.size(); ++index) {
+    const Chain& chain = fleet[index];
+    const Demand& demand = demands[index % demands.size()];
     const std::size_t first_slots = network.AddNode();
     const std::size_t first_kv = network.AddNode();
     const std::size_t link = network.AddNode();
--- a/bench/decisions/engines.h
+++ b/bench/decisions/engines.h
@@ -11,49 +11,49 @@
 
 namespace toucanwharf::bench {
 
-/// A job on a chain.
-struct Placed {
+/// A job, the router that handles it and the chain that it was sent to.
+struct PlacedJob {
   Job job;
   std::uint32_t router = 0;
   std::uint32_t chain = 0;
 };
 
-/// A job that just got a slot.
+/// Times of a job that was given a slot.
 struct StartedJob {
   std::uint64_t id = 0;
   TimePoint first_token;
   TimePoint end;
 };
 
-/// The queueing fake of one chain: slots and KV memory, then first come first
-/// served. A job whose caller's patience is over is dropped when its turn
-/// comes, in favour of the baselines, whose queues are long.
+/// Queueing model of one chain: jobs start in the order of arrival while slots
+/// and KV memory last. A job past its deadline is dropped at the head of the
+/// queue, which favours the baselines, whose queues are long.
 class FakeEngine {
  public:
   explicit FakeEngine(const Chain& served) : chain(served) {}
 
-  void Arrive(const Placed& placed) { this->queue.push_back(placed); }
+  void Enqueue(const PlacedJob& placed) { this->queue.push_back(placed); }
 
-  /// Starts what fits; adds started jobs to \p started and dropped ones to
-  /// \p dropped.
-  void Pump(TimePoint now, std::vector<StartedJob>& started,
-            std::vector<Placed>& dropped);
+  /// Starts queued jobs while they fit. Adds the started jobs to \p started and
+  /// the dropped ones to \p dropped.
+  void StartQueued(TimePoint now, std::vector<StartedJob>& started,
+                   std::vector<PlacedJob>& dropped);
 
-  /// Ends job \p id.
-  Placed End(std::uint64_t id);
+  /// Ends running job \p id and frees its slot and memory.
+  PlacedJob End(std::uint64_t id);
 
   routing::LoadReport Report(TimePoint now) const;
 
-  /// Returns slots that a waiting job could have: none while some wait here or
-  /// the memory is full.
-  std::uint32_t Idle() const;
+  /// Returns the slots that another job could use: 0 while jobs are queued here
+  /// or the KV memory is full.
+  std::uint32_t IdleSlots() const;
 
  private:
   bool Fits(const Job& job) const;
 
   Chain chain;
-  std::deque<Placed> queue;
-  std::unordered_map<std::uint64_t, Placed> running;
+  std::deque<PlacedJob> queue;
+  std::unordered_map<std::uint64_t, PlacedJob> running;
   double kv_used = 0;
 };
 
--- a/bench/decisions/experiments.cc
+++ b/bench/decisions/experiments.cc
@@ -12,7 +12,7 @@
 constexpr std::uint32_t kManyCustomers = 480;
 constexpr std::array<std::uint32_t, 2> kRouterCounts{1, 6};
 
-/// What one run is asked for.
+/// One run to do; `offered` is the load as a fraction of the bound.
 struct Case {
   std::string experiment;
   RunSettings run;
@@ -21,37 +21,37 @@
 
 Case MakeCase(const std::string& experiment, std::uint32_t endpoints,
               std::uint32_t routers, double offered, std::uint64_t seed) {
-  Case wanted;
-  wanted.experiment = experiment;
-  wanted.offered = offered;
-  wanted.run.endpoints = endpoints;
-  wanted.run.routers = routers;
-  wanted.run.traffic.seed = seed;
-  wanted.run.traffic.customers =
+  Case run_case;
+  run_case.experiment = experiment;
+  run_case.offered = offered;
+  run_case.run.endpoints = endpoints;
+  run_case.run.routers = routers;
+  run_case.run.traffic.seed = seed;
+  run_case.run.traffic.customers =
       endpoints == kSmallFleet ? kFewCustomers : kManyCustomers;
-  return wanted;
+  return run_case;
 }
 
-Bound BoundOf(const Case& wanted) {
-  return ComputeBound(MakeFleet(wanted.run.endpoints),
-                      SampleMix(wanted.run.traffic));
+Bound BoundOf(const Case& run_case) {
+  return ComputeBound(MakeFleet(run_case.run.endpoints),
+                      SampleMix(run_case.run.traffic));
 }
 
-Row MakeRow(const Case& wanted, const std::string& policy, const Bound& bound,
+Row MakeRow(const Case& run_case, const std::string& policy, const Bound& bound,
             const RunResult& result) {
-  return Row{wanted.experiment,
+  return Row{run_case.experiment,
              policy,
-             wanted.run.endpoints,
-             wanted.run.routers,
-             wanted.offered,
+             run_case.run.endpoints,
+             run_case.run.routers,
+             run_case.offered,
              result.requests_per_second / bound.requests_per_second,
              result.tokens_per_second / bound.tokens_per_second,
              result};
 }
 
-/// The settings with which the gate was first measured: limits that see no KV
-/// memory, one request for each router waiting inside an endpoint, two draws.
-admission::AdmissionSettings FirstVersion() {
+/// Settings for comparison: limits that ignore KV memory, a backlog of one
+/// request per router inside an endpoint, and two draws.
+admission::AdmissionSettings FirstVersionSettings() {
   admission::AdmissionSettings settings;
   settings.limiter.backlog = 1;
   settings.limiter.memory_part = -1e12;
@@ -59,38 +59,41 @@
   return settings;
 }
 
-Row RunGate(Case wanted, const std::string& policy,
-            const admission::AdmissionSettings& settings, const Bound& bound) {
-  wanted.run.traffic.requests_per_second =
-      wanted.offered * bound.requests_per_second;
-  Simulation<GateRouter> simulation(wanted.run,
-                                    [&settings](const RouterSetup& setup) {
-                                      return GateRouter(setup, settings);
-                                    });
-  return MakeRow(wanted, policy, bound, simulation.Run());
+Row RunAdmission(Case run_case, const std::string& policy,
+                 const admission::AdmissionSettings& settings,
+                 const Bound& bound) {
+  run_case.run.traffic.requests_per_second =
+      run_case.offered * bound.requests_per_second;
+  Simulation<AdmissionRouter> simulation(
+      run_case.run, [&settings](const RouterSetup& setup) {
+        return AdmissionRouter(setup, settings);
+      });
+  return MakeRow(run_case, policy, bound, simulation.Run());
 }
 
-Row RunPlain(Case wanted, const std::string& policy, Baseline baseline,
-             const Bound& bound) {
-  wanted.run.traffic.requests_per_second =
-      wanted.offered * bound.requests_per_second;
-  Simulation<PlainRouter> simulation(wanted.run,
-                                     [baseline](const RouterSetup& setup) {
-                                       return PlainRouter(setup, baseline);
-                                     });
-  return MakeRow(wanted, policy, bound, simulation.Run());
+Row RunBaseline(Case run_case, const std::string& policy, Baseline baseline,
+                const Bound& bound) {
+  run_case.run.traffic.requests_per_second =
+      run_case.offered * bound.requests_per_second;
+  Simulation<BaselineRouter> simulation(
+      run_case.run, [baseline](const RouterSetup& setup) {
+        return BaselineRouter(setup, baseline);
+      });
+  return MakeRow(run_case, policy, bound, simulation.Run());
 }
 
-void RunAll(const Case& wanted, std::vector<Row>& rows) {
-  const Bound bound = BoundOf(wanted);
-  rows.push_back(RunGate(wanted, "toucanwharf", {}, bound));
-  rows.push_back(RunGate(wanted, "first version", FirstVersion(), bound));
-  rows.push_back(RunPlain(wanted, "random", Baseline::kRandom, bound));
-  rows.push_back(RunPlain(wanted, "round robin", Baseline::kRoundRobin, bound));
+void RunAll(const Case& run_case, std::vector<Row>& rows) {
+  const Bound bound = BoundOf(run_case);
+  rows.push_back(RunAdmission(run_case, "toucanwharf", {}, bound));
   rows.push_back(
-      RunPlain(wanted, "least in flight", Baseline::kLeastInFlight, bound));
-  rows.push_back(RunPlain(wanted, "two choices on raw reports",
-                          Baseline::kTwoChoicesRaw, bound));
+      RunAdmission(run_case, "first version", FirstVersionSettings(), bound));
+  rows.push_back(RunBaseline(run_case, "random", Baseline::kRandom, bound));
+  rows.push_back(
+      RunBaseline(run_case, "round robin", Baseline::kRoundRobin, bound));
+  rows.push_back(RunBaseline(run_case, "least in flight",
+                             Baseline::kLeastInFlight, bound));
+  rows.push_back(RunBaseline(run_case, "two choices on raw reports",
+                             Baseline::kTwoChoicesRaw, bound));
 }
 
 void RunHeavyPair(std::uint32_t routers, double load, std::uint64_t seed,
@@ -98,14 +101,14 @@
   constexpr double kHeavyFactor = 10;
   for (const double factor : {1.0, kHeavyFactor}) {
     const std::string name = factor == 1.0 ? "even" : "heavy";
-    Case wanted = MakeCase(name, kSmallFleet, routers, load, seed);
-    wanted.run.traffic.heavy_factor = factor;
-    const double customers = wanted.run.traffic.customers;
-    wanted.offered = load * (customers - 1 + factor) / customers;
-    const Bound bound = BoundOf(wanted);
-    rows.push_back(RunGate(wanted, "toucanwharf", {}, bound));
-    rows.push_back(RunPlain(wanted, "two choices on raw reports",
-                            Baseline::kTwoChoicesRaw, bound));
+    Case run_case = MakeCase(name, kSmallFleet, routers, load, seed);
+    run_case.run.traffic.heavy_factor = factor;
+    const double customers = run_case.run.traffic.customers;
+    run_case.offered = load * (customers - 1 + factor) / customers;
+    const Bound bound = BoundOf(run_case);
+    rows.push_back(RunAdmission(run_case, "toucanwharf", {}, bound));
+    rows.push_back(RunBaseline(run_case, "two choices on raw reports",
+                               Baseline::kTwoChoicesRaw, bound));
   }
 }
 
@@ -128,16 +131,16 @@
   std::vector<Row> rows;
   for (const std::uint32_t routers : kRouterCounts) {
     for (const double load : kLoads) {
-      Case wanted = MakeCase("large", kLargeFleet, routers, load, seed);
-      wanted.run.seconds = 60;
-      RunAll(wanted, rows);
+      Case run_case = MakeCase("large", kLargeFleet, routers, load, seed);
+      run_case.run.seconds = 60;
+      RunAll(run_case, rows);
     }
   }
   return rows;
 }
 
 std::vector<Row> RunHeavyCustomer(std::uint64_t seed) {
-  // Small customers that use a part of their share, and nearly all of it.
+  // Small customers that use part of their share, or nearly all of it.
   constexpr std::array<double, 2> kLoads{0.6, 0.9};
   std::vector<Row> rows;
   for (const std::uint32_t routers : kRouterCounts) {
--- a/bench/decisions/fleet.cc
+++ b/bench/decisions/fleet.cc
@@ -7,15 +7,15 @@
 namespace toucanwharf::bench {
 namespace {
 
-/// Four kinds of accelerator, from the fastest to the slowest. The fastest has
-/// less memory than its slots could use.
+/// Four kinds of accelerator, fastest first. The fastest has less KV memory
+/// than its slots could use.
 constexpr std::array<Stage, 4> kKinds{{{32, 0.008, 16000, 15000},
                                        {24, 0.012, 10000, 24000},
                                        {16, 0.016, 8000, 16000},
                                        {8, 0.020, 6000, 8000}}};
 
-/// Links between stages: within a rack, a hall, a site, and a slow one whose
-/// capacity binds.
+/// Links between stages: within a rack, within a hall, within a site, and a
+/// slow one whose capacity limits its chain.
 struct Link {
   double seconds = 0;
   double tokens_per_second = 0;
@@ -23,7 +23,7 @@
 constexpr std::array<Link, 4> kLinks{
     {{0.00005, 100000}, {0.0005, 10000}, {0.002, 2000}, {0.005, 260}}};
 
-/// Pairs of kinds that placement makes of eight endpoints.
+/// Kinds and link of each of the four chains that eight endpoints form.
 struct Pairing {
   std::size_t first = 0;
   std::size_t second = 0;
@@ -32,11 +32,11 @@
 constexpr std::array<Pairing, 4> kPairings{
     {{0, 0, 0}, {1, 1, 1}, {2, 2, 2}, {3, 2, 3}}};
 
-constexpr double kShortPart = 0.7;
+constexpr double kShortFraction = 0.7;
 constexpr double kShortMeanTokens = 60;
 constexpr double kLongMeanTokens = 260;
-constexpr double kLeastOutput = 8;
-constexpr double kMostOutput = 1024;
+constexpr double kMinOutputTokens = 8;
+constexpr double kMaxOutputTokens = 1024;
 
 double Exponential(Random& random, double mean) {
   return -mean * std::log(std::max(random.Unit(), 1e-12));
@@ -67,17 +67,18 @@
 
 double LinkSeconds(std::uint32_t from, std::uint32_t to) {
   constexpr std::array<double, kDomains> kDelays{0.00005, 0.0005, 0.005};
-  const std::uint32_t apart = (to + kDomains - from) % kDomains;
-  return kDelays[apart];
+  const std::uint32_t distance = (to + kDomains - from) % kDomains;
+  return kDelays[distance];
 }
 
 std::vector<Chain> MakeFleet(std::uint32_t endpoints) {
   std::vector<Chain> fleet;
-  for (std::uint32_t at = 0; at < endpoints / 2; ++at) {
-    const Pairing& pairing = kPairings[at % kPairings.size()];
+  for (std::uint32_t index = 0; index < endpoints / 2; ++index) {
+    const Pairing& pairing = kPairings[index % kPairings.size()];
     const Link& link = kLinks[pairing.link];
     fleet.push_back(Chain{kKinds[pairing.first], kKinds[pairing.second],
-                          link.seconds, link.tokens_per_second, at % kDomains});
+                          link.seconds, link.tokens_per_second,
+                          index % kDomains});
   }
   return fleet;
 }
@@ -86,26 +87,28 @@
     : settings(chosen), random(chosen.seed) {}
 
 Job Traffic::Next() {
-  this->at_seconds +=
+  this->arrival_seconds +=
       Exponential(this->random, 1 / this->settings.requests_per_second);
   Job job;
   job.id = this->count++;
   const double shares =
       this->settings.customers - 1 + this->settings.heavy_factor;
   const double draw = this->random.Unit() * shares;
-  // Customer 0 is the heavy one.
+  // Customer 0 is the heavy customer.
   const double others = std::max(draw - this->settings.heavy_factor, -1.0);
   job.customer = others < 0 ? 0 : 1 + static_cast<std::uint32_t>(others);
   job.customer = std::min(job.customer, this->settings.customers - 1);
   job.prompt_tokens = 50 + this->random.Unit() * 600;
-  const bool brief = this->random.Unit() < kShortPart;
+  const bool is_short = this->random.Unit() < kShortFraction;
   const double length =
-      Exponential(this->random, brief ? kShortMeanTokens : kLongMeanTokens);
-  job.output_tokens = std::floor(std::clamp(length, kLeastOutput, kMostOutput));
-  job.arrived =
-      TimePoint{Duration{static_cast<std::int64_t>(this->at_seconds * 1e6)}};
-  job.deadline = job.arrived + Duration{static_cast<std::int64_t>(
-                                   this->settings.patience_seconds * 1e6)};
+      Exponential(this->random, is_short ? kShortMeanTokens : kLongMeanTokens);
+  job.output_tokens =
+      std::floor(std::clamp(length, kMinOutputTokens, kMaxOutputTokens));
+  job.arrived = TimePoint{
+      Duration{static_cast<std::int64_t>(this->arrival_seconds * 1e6)}};
+  job.deadline =
+      job.arrived +
+      Duration{static_cast<std::int64_t>(this->settings.timeout_seconds * 1e6)};
   return job;
 }
 
--- a/bench/decisions/fleet.h
+++ b/bench/decisions/fleet.h
@@ -9,9 +9,9 @@
 #include "toucanwharf/support/random.h"
 
 /// \file
-/// The fleet and the traffic of the benchmark, and the bound that the fleet
-/// allows. A chain is two endpoints that together hold all layers; placement
-/// has paired them, so that what is left to decide is the chain.
+/// The simulated fleet, its traffic and the upper bound of its throughput. A
+/// chain is a pair of endpoints that together hold all layers. The pairs are
+/// fixed, so a router decides only which chain to use.
 namespace toucanwharf::bench {
 
 /// One endpoint: a stage that holds half of the layers.
@@ -26,20 +26,20 @@
 struct Chain {
   Stage first;
   Stage second;
-  /// One way, between the stages.
+  /// One-way delay between the stages.
   double link_seconds = 0;
-  /// Activations that the link carries, as tokens a second.
+  /// Activation throughput of the link, in tokens per second.
   double link_tokens_per_second = 0;
   std::uint32_t domain = 0;
 
   /// Returns the time between two tokens.
   double TokenSeconds() const;
-  /// Returns the time of the prompt through both stages.
+  /// Returns the time to process the prompt in both stages.
   double PrefillSeconds(double prompt_tokens) const;
-  /// Returns requests that run at once at full speed: the least of both
-  /// stages' slots and what the link carries.
+  /// Returns how many requests run concurrently at full speed: the minimum of
+  /// both stages' slots and of the link's throughput.
   std::uint32_t Slots() const;
-  /// Returns the KV memory of the stage that has less.
+  /// Returns the smaller KV memory of the two stages.
   double KvTokens() const;
 };
 
@@ -56,53 +56,53 @@
 constexpr std::uint32_t kDomains = 3;
 
 /// Returns the one-way delay between two failure domains and within one, in
-/// seconds, a hundredfold apart.
+/// seconds. The largest delay is 100 times the smallest.
 double LinkSeconds(std::uint32_t from, std::uint32_t to);
 
-/// Returns the fleet of \p endpoints endpoints of four kinds.
-/// Precondition: a multiple of 8.
+/// Returns a fleet of \p endpoints endpoints of four kinds.
+/// Precondition: \p endpoints is a multiple of 8.
 std::vector<Chain> MakeFleet(std::uint32_t endpoints);
 
-/// Traffic of \p customers customers; \p heavy of them sends `heavy_factor`
-/// times the share of each other.
+/// Traffic of `customers` customers. Customer 0 sends `heavy_factor` times as
+/// much as each of the others.
 struct TrafficSettings {
   std::uint32_t customers = 10;
   double heavy_factor = 1;
   double requests_per_second = 1;
-  double patience_seconds = 4;
+  double timeout_seconds = 4;
   std::uint64_t seed = 1;
 };
 
-/// Draws jobs in the order of their arrival, Poisson.
+/// Generates jobs of a Poisson process, in the order of arrival.
 class Traffic {
  public:
   explicit Traffic(const TrafficSettings& chosen);
   Job Next();
-  /// Returns the part of all requests that \p customer sends.
+  /// Returns the fraction of all requests that \p customer sends.
   double ShareOf(std::uint32_t customer) const;
 
  private:
   TrafficSettings settings;
   Random random;
-  double at_seconds = 0;
+  double arrival_seconds = 0;
   std::uint64_t count = 0;
 };
 
-/// The most that the fleet can do, by maximum flow over stages, links between
-/// stages and KV memory.
+/// Upper bound of the fleet's throughput: the maximum flow through stages,
+/// links between stages and KV memory.
 struct Bound {
   double requests_per_second = 0;
   double tokens_per_second = 0;
 };
 
-/// Computes the bound for the mix of requests in \p jobs. A policy that answers
-/// mostly short requests gets more of them through; held against the bound of
-/// the mix that it answered, that is no merit.
+/// Computes the bound for the mix of requests in \p jobs. A policy that prefers
+/// short requests completes more of them; comparing it with the bound of the
+/// mix that it answered removes this advantage.
 /// Precondition: \p jobs is not empty.
 Bound ComputeBound(const std::vector<Chain>& fleet,
                    const std::vector<Job>& jobs);
 
-/// Draws the mix that \p settings describes, a large sample of it.
+/// Returns a large sample of the traffic that \p settings describes.
 std::vector<Job> SampleMix(const TrafficSettings& settings);
 
 }  // namespace toucanwharf::bench
--- a/bench/decisions/main.cc
+++ b/bench/decisions/main.cc
@@ -8,7 +8,7 @@
 #include "experiments.h"
 #include "report.h"
 
-/// Measures the decisions under load on virtual time; see
+/// Simulates admission and routing under load on virtual time; see
 /// docs/design/load.md.
 namespace {
 
@@ -22,16 +22,17 @@
 }
 
 cxxopts::Options MakeOptions() {
-  cxxopts::Options options("bench_decisions",
-                           "Decisions under load against the computed bound.");
-  options.add_options()("seed", "Seed of traffic and draws",
+  cxxopts::Options options(
+      "bench_decisions",
+      "Simulates routing decisions under load against the computed bound.");
+  options.add_options()("seed", "Seed of traffic and random choices",
                         cxxopts::value<std::uint64_t>()->default_value(
                             std::to_string(kDefaultSeed)))(
       "output", "text or json",
       cxxopts::value<std::string>()->default_value("text"))(
-      "plots", "Folder to write the SVG plots to",
+      "plots", "Existing folder for the SVG plots",
       cxxopts::value<std::string>()->default_value(""))(
-      "quick", "Without the runs of 800 endpoints")("help", "Print this");
+      "quick", "Skip the runs with 800 endpoints")("help", "Print this");
   return options;
 }
 
@@ -40,7 +41,8 @@
     const std::string path =
         folder + "/goodput-" + std::to_string(routers) + "-routers.svg";
     if (!toucanwharf::bench::PlotGoodput(rows, routers, path)) {
-      std::fprintf(stderr, "can't write %s: name a folder that exists\n",
+      std::fprintf(stderr,
+                   "cannot write %s: --plots must name an existing folder\n",
                    path.c_str());
       return false;
     }
@@ -52,22 +54,22 @@
 
 int main(int argc, char** argv) {
   cxxopts::Options options = MakeOptions();
-  const cxxopts::ParseResult given = options.parse(argc, argv);
-  if (given.count("help") > 0) {
+  const cxxopts::ParseResult parsed = options.parse(argc, argv);
+  if (parsed.count("help") > 0) {
     std::printf("%s\n", options.help().c_str());
     return 0;
   }
-  const auto seed = given["seed"].as<std::uint64_t>();
+  const auto seed = parsed["seed"].as<std::uint64_t>();
   std::vector<Row> rows = toucanwharf::bench::RunSweep(seed);
   Append(rows, toucanwharf::bench::RunHeavyCustomer(seed));
-  if (given.count("quick") == 0) {
+  if (parsed.count("quick") == 0) {
     Append(rows, toucanwharf::bench::RunLarge(seed));
   }
-  if (given["output"].as<std::string>() == "json") {
+  if (parsed["output"].as<std::string>() == "json") {
     std::printf("%s\n", toucanwharf::bench::ToJson(rows, seed).c_str());
   } else {
     toucanwharf::bench::PrintTable(rows);
   }
-  const auto plots = given["plots"].as<std::string>();
+  const auto plots = parsed["plots"].as<std::string>();
   return plots.empty() || WritePlots(rows, plots) ? 0 : 1;
 }
--- a/bench/decisions/routers.h
+++ b/bench/decisions/routers.h
@@ -13,73 +13,72 @@
 #include "toucanwharf/routing/load_view.h"
 
 /// \file
-/// The deciding routers: ours, and the baselines that stand beside it. Each has
-/// Offer, Next, Finished, Report, Tick and gossip.
+/// The simulated routers: one with the real admission controller, and the
+/// baselines that it is compared with. Simulation calls the same methods of
+/// each.
 namespace toucanwharf::bench {
 
-/// A job to be sent to a chain.
-struct Send {
+/// A job and the chain that it is sent to.
+struct Dispatch {
   std::uint64_t id = 0;
   std::uint32_t chain = 0;
 };
 
-/// What a router is made with.
 struct RouterSetup {
   const std::vector<Chain>* fleet = nullptr;
   std::uint32_t routers = 1;
-  std::uint32_t number = 0;
+  std::uint32_t index = 0;
   std::uint64_t seed = 1;
 };
 
-/// The failure domain that router \p number stands in.
-inline std::uint32_t DomainOf(std::uint32_t number) {
-  return number % kDomains;
-}
+/// Returns the failure domain of router \p index.
+inline std::uint32_t DomainOf(std::uint32_t index) { return index % kDomains; }
 
-/// Returns what a router knows of \p chain from its endpoints' status.
+/// Returns the endpoint spec of \p chain as router \p router sees it.
 routing::EndpointSpec SpecOf(const Chain& chain, std::uint32_t router);
 
-/// This repository's decisions.
-class GateRouter {
+/// Decides with admission::AdmissionController.
+class AdmissionRouter {
  public:
-  GateRouter(const RouterSetup& setup,
-             const admission::AdmissionSettings& settings);
+  AdmissionRouter(const RouterSetup& setup,
+                  const admission::AdmissionSettings& settings);
 
-  /// Returns false when the job is refused at once.
+  /// Returns false if the job is refused immediately.
   bool Offer(TimePoint now, const Job& job);
-  std::optional<Send> Next(TimePoint now);
+  std::optional<Dispatch> Next(TimePoint now);
   void Finished(TimePoint now, const Job& job, bool whole);
   void Report(std::uint32_t chain, const routing::LoadReport& report);
-  /// Returns how many waiting jobs were given up.
+  /// Returns how many waiting jobs were refused, as they would be late.
   std::size_t Tick(TimePoint now);
   admission::Usage Served() const;
-  void Heard(TimePoint now, std::uint32_t peer, const admission::Usage& usage);
-  std::size_t Waiting() const { return this->gate.WaitingCount(); }
+  void MergePeerUsage(TimePoint now, std::uint32_t peer,
+                      const admission::Usage& usage);
+  std::size_t Waiting() const { return this->controller.WaitingCount(); }
 
  private:
-  mutable admission::AdmissionController gate;
+  mutable admission::AdmissionController controller;
   std::vector<std::string> chain_names;
 };
 
 enum class Baseline { kRandom, kRoundRobin, kLeastInFlight, kTwoChoicesRaw };
 
-/// Sends each job on at once; what waits, waits inside the endpoints.
-class PlainRouter {
+/// Dispatches each job immediately, so that jobs queue inside the endpoints.
+class BaselineRouter {
  public:
-  PlainRouter(const RouterSetup& setup, Baseline chosen);
+  BaselineRouter(const RouterSetup& setup, Baseline chosen);
 
   bool Offer(TimePoint now, const Job& job);
-  std::optional<Send> Next(TimePoint now);
+  std::optional<Dispatch> Next(TimePoint now);
   void Finished(TimePoint now, const Job& job, bool whole);
   void Report(std::uint32_t chain, const routing::LoadReport& report);
   std::size_t Tick(TimePoint) { return 0; }
   admission::Usage Served() const { return {}; }
-  void Heard(TimePoint, std::uint32_t, const admission::Usage&) {}
+  void MergePeerUsage(TimePoint, std::uint32_t, const admission::Usage&) {}
   std::size_t Waiting() const { return 0; }
 
  private:
   std::uint32_t Choose();
-  double RawLoad(std::uint32_t chain) const;
+  double ReportedLoad(std::uint32_t chain) const;
 
   const std::vector<Chain>* fleet;
   Baseline baseline;
@@ -88,7 +87,7 @@
   std::vector<std::uint32_t> in_flight;
   std::vector<routing::LoadReport> reports;
   std::unordered_map<std::uint64_t, std::uint32_t> chain_of;
-  std::optional<Send> pending;
+  std::optional<Dispatch> pending;
 };
 
 }  // namespace toucanwharf::bench
--- a/bench/decisions/simulation.h
+++ b/bench/decisions/simulation.h
@@ -18,77 +18,85 @@
 
 namespace toucanwharf::bench {
 
-/// One run.
 struct RunSettings {
   std::uint32_t endpoints = 40;
   std::uint32_t routers = 1;
   TrafficSettings traffic;
-  /// The longest answers take 47 s; a shorter start would leave them out.
-  double warm_seconds = 60;
+  /// Exceeds the longest answers, which take 47 s: with a shorter warm-up they
+  /// would be missing from the measurement.
+  double warmup_seconds = 60;
   double seconds = 120;
 };
 
-/// What callers got in the measured time, and what deciding cost.
+/// Results of the measured time after the warm-up.
 struct RunResult {
   double requests_per_second = 0;
   double tokens_per_second = 0;
-  /// Requests a second as a part of the bound for the mix that was answered.
-  double of_answered_bound = 0;
-  /// Of all that arrived in the measured time.
-  double refused_part = 0;
-  double lost_part = 0;
+  /// `requests_per_second` as a fraction of the bound for the answered mix.
+  double fraction_of_answered_bound = 0;
+  /// Fractions of the requests that arrived in the measured time.
+  double refused_fraction = 0;
+  double lost_fraction = 0;
   double first_token_p50 = 0;
   double first_token_p95 = 0;
   double token_gap_p95 = 0;
-  /// First token p95 of all customers but the heavy one.
-  double small_p95 = 0;
-  /// Part of slot time idle while a job waited in a router.
+  /// First token p95 of all customers but the heavy customer.
+  double small_customers_p95 = 0;
+  /// Fraction of slot time that was idle while a job waited in a router.
   double idle_while_waiting = 0;
-  /// Processor time of decisions; differs from run to run.
+  /// Real time spent in decisions; differs between runs.
   double micros_per_request = 0;
   double micros_per_token = 0;
 };
 
-/// Returns the \p part quantile of \p values, 0 when there are none.
-double Quantile(std::vector<double> values, double part);
+/// Returns the \p fraction quantile of \p values, or 0 if there are none.
+double Quantile(std::vector<double> values, double fraction);
 
-/// Plays one run on virtual time. `RouterT` is one of routers.h.
+/// Simulates one run on virtual time. `RouterT` is a router of routers.h.
 template <typename RouterT>
 class Simulation {
  public:
-  using Maker = std::function<RouterT(const RouterSetup&)>;
+  using RouterFactory = std::function<RouterT(const RouterSetup&)>;
 
-  Simulation(const RunSettings& chosen, const Maker& make);
+  Simulation(const RunSettings& chosen, const RouterFactory& make);
 
   RunResult Run();
 
  private:
-  enum class Kind { kArrive, kReach, kEnd, kNews, kReport, kTick, kGossip };
+  enum class Kind {
+    kArrival,
+    kReachEngine,
+    kJobEnd,
+    kOutcome,
+    kReport,
+    kTick,
+    kGossip
+  };
   struct Event {
-    TimePoint at;
-    std::uint64_t order = 0;
-    Kind kind = Kind::kArrive;
+    TimePoint time;
+    std::uint64_t sequence = 0;
+    Kind kind = Kind::kArrival;
     std::uint64_t id = 0;
     std::uint32_t index = 0;
     bool operator>(const Event& other) const {
-      if (this->at != other.at) return this->at > other.at;
-      return this->order > other.order;
+      if (this->time != other.time) return this->time > other.time;
+      return this->sequence > other.sequence;
     }
   };
 
-  void Add(TimePoint at, Kind kind, std::uint64_t id, std::uint32_t index);
+  void Add(TimePoint time, Kind kind, std::uint64_t id, std::uint32_t index);
   void Handle(const Event& event);
-  void Arrive();
-  void PumpRouter(std::uint32_t router);
-  void PumpEngine(std::uint32_t chain);
+  void HandleArrival();
+  void DispatchJobs(std::uint32_t router);
+  void StartJobs(std::uint32_t chain);
   void SendReports(std::uint32_t chain);
   void Gossip();
-  void NoteFirstToken(const Placed& placed, TimePoint at);
-  void NoteWhole(const Placed& placed, TimePoint at);
-  void NoteIdle();
+  void RecordFirstToken(const PlacedJob& placed, TimePoint time);
+  void RecordCompleted(const PlacedJob& placed, TimePoint time);
+  void RecordIdleSlots();
   std::uint32_t RouterFor(const Job& job);
-  Duration Link(const Placed& placed) const;
-  bool Measured(TimePoint at) const;
+  Duration LinkDelay(const PlacedJob& placed) const;
+  bool IsMeasured(TimePoint time) const;
   RunResult Summary() const;
 
   template <typename Call>
@@ -116,10 +124,10 @@
   std::vector<RouterT> routers;
   std::vector<FakeEngine> engines;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
-  std::uint64_t order = 0;
+  std::uint64_t sequence = 0;
   TimePoint now;
   Job arriving;
-  std::unordered_map<std::uint64_t, Placed> jobs;
+  std::unordered_map<std::uint64_t, PlacedJob> jobs;
   std::vector<std::map<std::uint64_t, routing::LoadReport>> in_transit;
   std::chrono::steady_clock::duration decision_time{0};
 
@@ -127,10 +135,10 @@
   std::uint64_t offered = 0;
   std::uint64_t refused = 0;
   std::uint64_t lost = 0;
-  std::vector<Job> whole;
+  std::vector<Job> completed;
   double tokens = 0;
   double all_tokens = 0;
-  double idle = 0;
+  double idle_slots = 0;
   double slot_samples = 0;
   std::vector<double> first_tokens;
   std::vector<double> small_first_tokens;
--- a/bench/recovery/main.cc
+++ b/bench/recovery/main.cc
@@ -10,8 +10,8 @@
 using toucanwharf::bench::AllFaults;
 using toucanwharf::bench::Deployment;
 using toucanwharf::bench::Fault;
-using toucanwharf::bench::Play;
 using toucanwharf::bench::Row;
+using toucanwharf::bench::RunFault;
 
 std::vector<Deployment> Deployments() {
   return {{"atlas", {"casa-a", "casa-b", "berrechid"}, 3, 400},
@@ -22,7 +22,7 @@
   std::vector<Row> rows;
   for (const Deployment& deployment : Deployments()) {
     for (const Fault fault : AllFaults()) {
-      rows.push_back(Play(deployment, fault, rounds, seed));
+      rows.push_back(RunFault(deployment, fault, rounds, seed));
       std::cerr << rows.back().deployment << ": " << rows.back().fault
                 << " done\n";
     }
@@ -40,11 +40,12 @@
   cxxopts::Options options(
       "bench_recovery",
       "Recovery times of real processes on loopback; exits 1 if any answer was "
-      "not whole and right.");
-  options.add_options()("rounds", "fleets for each fault",
+      "incomplete or had wrong tokens.");
+  options.add_options()("rounds", "number of fleets for each fault",
                         cxxopts::value<int>()->default_value("5"))(
       "seed", "seed of prompts and sampling",
-      cxxopts::value<std::uint64_t>()->default_value("1"))("help", "this");
+      cxxopts::value<std::uint64_t>()->default_value("1"))("help",
+                                                           "print this help");
   try {
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
--- a/bench/recovery/measure.cc
+++ b/bench/recovery/measure.cc
@@ -8,17 +8,17 @@
 namespace toucanwharf::bench {
 namespace {
 
-/// A gap so many times the median before the fault is long.
+/// A gap is long if it exceeds this multiple of the median before the fault.
 constexpr std::int64_t kLongGapFactor = 3;
 
 double Millis(std::int64_t micros) {
   return static_cast<double>(micros) / 1000.0;
 }
 
-nlohmann::json SpreadJson(const Spread& spread) {
-  return {{"p50_ms", Millis(spread.p50)},
-          {"p95_ms", Millis(spread.p95)},
-          {"max_ms", Millis(spread.max)}};
+nlohmann::json QuantilesJson(const Quantiles& quantiles) {
+  return {{"p50_ms", Millis(quantiles.p50)},
+          {"p95_ms", Millis(quantiles.p95)},
+          {"max_ms", Millis(quantiles.max)}};
 }
 
 void PrintLine(const Row& row) {
@@ -27,40 +27,41 @@
       "%6.0f %6.0f\n",
       row.deployment.c_str(), row.fault.c_str(), row.answers, row.wrong,
       Millis(row.next_token.p50), Millis(row.next_token.p95),
-      Millis(row.next_token.max), Millis(row.old_pace.p50),
-      Millis(row.old_pace.p95), Millis(row.old_pace.max), row.split.noticing_ms,
-      row.split.replanning_ms, row.split.resuming_ms);
+      Millis(row.next_token.max), Millis(row.pace_restored.p50),
+      Millis(row.pace_restored.p95), Millis(row.pace_restored.max),
+      row.phases.detection_ms, row.phases.replanning_ms,
+      row.phases.resumption_ms);
 }
 
 }  // namespace
 
-Sample SampleOf(const std::vector<std::int64_t>& token_micros,
-                std::int64_t fault) {
-  std::vector<std::int64_t> before;
-  for (std::size_t at = 1; at < token_micros.size(); ++at) {
-    if (token_micros[at] > fault) break;
-    before.push_back(token_micros[at] - token_micros[at - 1]);
+Sample MakeSample(const std::vector<std::int64_t>& token_micros,
+                  std::int64_t fault) {
+  std::vector<std::int64_t> gaps_before;
+  for (std::size_t index = 1; index < token_micros.size(); ++index) {
+    if (token_micros[index] > fault) break;
+    gaps_before.push_back(token_micros[index] - token_micros[index - 1]);
   }
-  const std::int64_t long_gap = kLongGapFactor * SpreadOf(before).p50;
+  const std::int64_t long_gap = kLongGapFactor * QuantilesOf(gaps_before).p50;
   Sample sample;
-  std::int64_t longest = 0;
-  for (std::size_t at = 1; at < token_micros.size(); ++at) {
-    const std::int64_t after = token_micros[at] - fault;
-    if (after <= 0) continue;
-    // A token that was under way when the fault struck is not the next one:
-    // the next one ends the longest gap.
-    const std::int64_t gap = token_micros[at] - token_micros[at - 1];
-    if (gap > longest) {
-      longest = gap;
-      sample.next_token = after;
+  std::int64_t max_gap = 0;
+  for (std::size_t index = 1; index < token_micros.size(); ++index) {
+    const std::int64_t since_fault = token_micros[index] - fault;
+    if (since_fault <= 0) continue;
+    // Tokens that were in flight at the time of the fault still arrive. The
+    // first token after the recovery is the one that ends the longest gap.
+    const std::int64_t gap = token_micros[index] - token_micros[index - 1];
+    if (gap > max_gap) {
+      max_gap = gap;
+      sample.next_token = since_fault;
     }
-    if (gap > long_gap) sample.old_pace = after;
+    if (gap > long_gap) sample.pace_restored = since_fault;
   }
-  sample.old_pace = std::max(sample.old_pace, sample.next_token);
+  sample.pace_restored = std::max(sample.pace_restored, sample.next_token);
   return sample;
 }
 
-Spread SpreadOf(std::vector<std::int64_t> values) {
+Quantiles QuantilesOf(std::vector<std::int64_t> values) {
   if (values.empty()) return {};
   std::sort(values.begin(), values.end());
   const std::size_t last = values.size() - 1;
@@ -78,21 +79,21 @@
       "", "fault", "n", "bad");
   std::printf("%-6s %-28s %3s %3s | %6s %6s %6s | %6s %6s %6s |\n", "", "", "",
               "", "p50", "p95", "max", "p50", "p95", "max");
-  nlohmann::json lines = nlohmann::json::array();
+  nlohmann::json row_list = nlohmann::json::array();
   for (const Row& row : rows) {
     PrintLine(row);
-    lines.push_back({{"deployment", row.deployment},
-                     {"fault", row.fault},
-                     {"answers", row.answers},
-                     {"wrong", row.wrong},
-                     {"next_token", SpreadJson(row.next_token)},
-                     {"old_pace", SpreadJson(row.old_pace)},
-                     {"noticing_mean_ms", row.split.noticing_ms},
-                     {"replanning_mean_ms", row.split.replanning_ms},
-                     {"resuming_mean_ms", row.split.resuming_ms}});
+    row_list.push_back({{"deployment", row.deployment},
+                        {"fault", row.fault},
+                        {"answers", row.answers},
+                        {"wrong", row.wrong},
+                        {"next_token", QuantilesJson(row.next_token)},
+                        {"old_pace", QuantilesJson(row.pace_restored)},
+                        {"noticing_mean_ms", row.phases.detection_ms},
+                        {"replanning_mean_ms", row.phases.replanning_ms},
+                        {"resuming_mean_ms", row.phases.resumption_ms}});
   }
   std::fflush(stdout);
-  std::cout << nlohmann::json({{"seed", seed}, {"rows", lines}}).dump()
+  std::cout << nlohmann::json({{"seed", seed}, {"rows", row_list}}).dump()
             << std::endl;
 }
 
--- a/bench/recovery/scenario.cc
+++ b/bench/recovery/scenario.cc
@@ -19,12 +19,12 @@
 using process_test::StreamedAnswer;
 
 constexpr int kAnswersPerRound = 3;
-constexpr std::uint32_t kTokens = 60;
-/// Every answer has read so many tokens when the fault strikes.
-constexpr std::size_t kTokensBefore = 15;
+constexpr std::uint32_t kAnswerTokens = 60;
+/// The fault is injected after each caller has read this many tokens.
+constexpr std::size_t kTokensBeforeFault = 15;
 constexpr std::uint64_t kLayerMicros = 1500;
 constexpr int kSlowedDelayMs = 50;
-/// Between the seeds of two rounds; each answer of a round takes one.
+/// Distance of the seeds of two rounds; each answer of a round uses one seed.
 constexpr std::uint64_t kSeedStep = 100;
 constexpr std::int64_t kNever = INT64_MAX;
 
@@ -33,17 +33,17 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-const char* Name(Fault fault) {
+const char* FaultName(Fault fault) {
   switch (fault) {
     case Fault::kStageKilled:
       return "stage killed";
     case Fault::kStageFrozen:
       return "stage frozen";
-    case Fault::kConnectionSilenced:
+    case Fault::kConnectionStalled:
       return "connection silenced";
     case Fault::kLinkSlowed:
       return "link slowed to 50 ms";
-    case Fault::kHalfDomainGone:
+    case Fault::kHalfDomainKilled:
       return "half a failure domain gone";
     case Fault::kRouterKilled:
       return "router killed, asked again";
@@ -51,21 +51,24 @@
   return "";
 }
 
-std::string Id(const std::string& role, const std::string& domain, int copy) {
-  return role + "-" + domain + "-" + std::to_string(copy);
+std::string EngineId(const std::string& role, const std::string& domain,
+                     int replica) {
+  return role + "-" + domain + "-" + std::to_string(replica);
 }
 
-/// One fleet with answers under way and the fault that strikes them.
+/// One fleet, its answers in flight and the fault to inject.
 class Round {
  public:
-  Round(const Deployment& played, Fault played_fault, std::uint64_t round_seed)
-      : deployment(played), fault(played_fault), seed(round_seed) {
+  Round(const Deployment& run_deployment, Fault run_fault,
+        std::uint64_t round_seed)
+      : deployment(run_deployment), fault(run_fault), seed(round_seed) {
     for (const std::string& domain : this->deployment.domains) {
-      const bool own = domain == this->deployment.domains.front();
-      const bool pairs = own && this->fault == Fault::kHalfDomainGone;
-      for (int copy = 0; copy < (pairs ? 2 : 1); ++copy) {
-        this->AddEngine("front", domain, copy, 0, Fleet::kLayers / 2);
-        this->AddEngine("back", domain, copy, Fleet::kLayers / 2,
+      const bool in_first_domain = domain == this->deployment.domains.front();
+      const bool two_replicas =
+          in_first_domain && this->fault == Fault::kHalfDomainKilled;
+      for (int replica = 0; replica < (two_replicas ? 2 : 1); ++replica) {
+        this->AddEngine("front", domain, replica, 0, Fleet::kLayers / 2);
+        this->AddEngine("back", domain, replica, Fleet::kLayers / 2,
                         Fleet::kLayers);
       }
     }
@@ -75,22 +78,23 @@
     this->fleet.DelayCallers(this->deployment.client_delay_ms);
   }
 
-  /// Adds what the answers' callers saw to \p row and \p samples.
+  /// Streams the answers, injects the fault and adds the results to \p row and
+  /// \p samples.
   void Run(Row& row, std::vector<Sample>& samples) {
     std::vector<std::thread> callers;
     for (int caller = 0; caller < kAnswersPerRound; ++caller) {
       callers.emplace_back([this, caller, &row, &samples] {
-        this->ReadOne(this->seed + caller, row, samples);
+        this->ReadAnswer(this->seed + caller, row, samples);
       });
     }
-    while (this->ready < kAnswersPerRound) {
+    while (this->callers_ready < kAnswersPerRound) {
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    this->Strike();
+    this->InjectFault();
     for (std::thread& caller : callers) caller.join();
   }
 
-  Split RouterSplit() const {
+  RecoveryPhases RouterPhases() const {
     const auto mean = [this](const std::string& part) {
       const std::string name = "toucanwharf_recovery_" + part + "_seconds";
       const double count = this->fleet.Metric(0, name + "_count");
@@ -102,10 +106,10 @@
   }
 
  private:
-  void AddEngine(const std::string& role, const std::string& domain, int copy,
-                 std::uint32_t begin, std::uint32_t end) {
+  void AddEngine(const std::string& role, const std::string& domain,
+                 int replica, std::uint32_t begin, std::uint32_t end) {
     EngineSpec spec;
-    spec.id = Id(role, domain, copy);
+    spec.id = EngineId(role, domain, replica);
     spec.failure_domain = domain;
     spec.begin = begin;
     spec.end = end;
@@ -121,69 +125,73 @@
     return prompt;
   }
 
-  void ReadOne(std::uint64_t answer_seed, Row& row,
-               std::vector<Sample>& samples) {
+  void ReadAnswer(std::uint64_t answer_seed, Row& row,
+                  std::vector<Sample>& samples) {
     const std::string prompt = this->Prompt(answer_seed);
     StreamedAnswer answer = this->fleet.Stream(
-        0, prompt, kTokens, answer_seed, [this](std::size_t read) {
-          this->ready += read == kTokensBefore ? 1 : 0;
+        0, prompt, kAnswerTokens, answer_seed, [this](std::size_t read) {
+          this->callers_ready += read == kTokensBeforeFault ? 1 : 0;
           return true;
         });
     if (this->fault == Fault::kRouterKilled) {
-      this->AskAgain(prompt, answer_seed, answer);
+      this->RetryAtNextRouter(prompt, answer_seed, answer);
     }
-    const bool right =
+    const bool correct =
         answer.done &&
-        answer.tokens == Fleet::Expected(prompt, kTokens, answer_seed);
+        answer.tokens == Fleet::Expected(prompt, kAnswerTokens, answer_seed);
     const std::lock_guard lock(this->mutex);
     ++row.answers;
-    if (!right) {
+    if (!correct) {
       ++row.wrong;
       return;
     }
-    samples.push_back(SampleOf(answer.token_micros, this->struck_at));
+    samples.push_back(MakeSample(answer.token_micros, this->fault_micros));
   }
 
-  /// A router keeps answers in memory only, so its callers ask the next entry
-  /// instance for the id and, as that knows nothing of it, for the answer
-  /// itself, with the same seed; tokens already read are skipped.
-  void AskAgain(const std::string& prompt, std::uint64_t answer_seed,
-                StreamedAnswer& answer) const {
-    const std::size_t had = answer.tokens.size();
-    StreamedAnswer rest = this->fleet.Resume(1, answer.id, had);
-    if (rest.status != 200) {
-      rest = this->fleet.Stream(1, prompt, kTokens, answer_seed);
-      if (rest.tokens.size() < had) return;
-      const auto skip = static_cast<std::ptrdiff_t>(had);
-      rest.tokens.erase(rest.tokens.begin(), rest.tokens.begin() + skip);
-      rest.token_micros.erase(rest.token_micros.begin(),
-                              rest.token_micros.begin() + skip);
+  /// A router keeps answers in memory only. Its callers therefore try to resume
+  /// the answer by id at the next entry instance and, as that one does not know
+  /// the id, repeat the request with the same seed and skip the tokens that
+  /// they have already read.
+  void RetryAtNextRouter(const std::string& prompt, std::uint64_t answer_seed,
+                         StreamedAnswer& answer) const {
+    const std::size_t read_count = answer.tokens.size();
+    StreamedAnswer remainder = this->fleet.Resume(1, answer.id, read_count);
+    if (remainder.status != 200) {
+      remainder = this->fleet.Stream(1, prompt, kAnswerTokens, answer_seed);
+      if (remainder.tokens.size() < read_count) return;
+      const auto read_offset = static_cast<std::ptrdiff_t>(read_count);
+      remainder.tokens.erase(remainder.tokens.begin(),
+                             remainder.tokens.begin() + read_offset);
+      remainder.token_micros.erase(
+          remainder.token_micros.begin(),
+          remainder.token_micros.begin() + read_offset);
     }
-    answer.done = rest.done;
-    answer.tokens.insert(answer.tokens.end(), rest.tokens.begin(),
-                         rest.tokens.end());
+    answer.done = remainder.done;
+    answer.tokens.insert(answer.tokens.end(), remainder.tokens.begin(),
+                         remainder.tokens.end());
     answer.token_micros.insert(answer.token_micros.end(),
-                               rest.token_micros.begin(),
-                               rest.token_micros.end());
+                               remainder.token_micros.begin(),
+                               remainder.token_micros.end());
   }
 
-  void Strike() {
-    const std::string& own = this->deployment.domains[0];
-    this->struck_at = NowMicros();
+  void InjectFault() {
+    const std::string& first_domain = this->deployment.domains[0];
+    this->fault_micros = NowMicros();
     switch (this->fault) {
       case Fault::kStageKilled:
-        return this->fleet.Engine(Id("back", own, 0)).Kill();
+        return this->fleet.Engine(EngineId("back", first_domain, 0)).Kill();
       case Fault::kStageFrozen:
-        return this->fleet.Engine(Id("back", own, 0)).Signal(SIGSTOP);
-      case Fault::kConnectionSilenced:
-        return this->fleet.RelayFault(Id("front", own, 0),
+        return this->fleet.Engine(EngineId("back", first_domain, 0))
+            .Signal(SIGSTOP);
+      case Fault::kConnectionStalled:
+        return this->fleet.RelayFault(EngineId("front", first_domain, 0),
                                       {{"silence", "open"}});
       case Fault::kLinkSlowed:
-        return this->fleet.RelayFault(Id("back", own, 0),
+        return this->fleet.RelayFault(EngineId("back", first_domain, 0),
                                       {{"delay_ms", kSlowedDelayMs}});
-      case Fault::kHalfDomainGone:
-        this->fleet.Engine(Id("front", own, 0)).Kill();
-        return this->fleet.Engine(Id("back", own, 0)).Kill();
+      case Fault::kHalfDomainKilled:
+        this->fleet.Engine(EngineId("front", first_domain, 0)).Kill();
+        return this->fleet.Engine(EngineId("back", first_domain, 0)).Kill();
       case Fault::kRouterKilled:
         return this->fleet.Router(0).Kill();
     }
@@ -193,48 +201,48 @@
   Fault fault;
   std::uint64_t seed;
   Fleet fleet;
-  std::atomic<int> ready{0};
-  std::atomic<std::int64_t> struck_at{kNever};
+  std::atomic<int> callers_ready{0};
+  std::atomic<std::int64_t> fault_micros{kNever};
   std::mutex mutex;
 };
 
-void AddTo(Split& sum, const Split& more) {
-  sum.noticing_ms += more.noticing_ms;
-  sum.replanning_ms += more.replanning_ms;
-  sum.resuming_ms += more.resuming_ms;
+void AddPhases(RecoveryPhases& sum, const RecoveryPhases& phases) {
+  sum.detection_ms += phases.detection_ms;
+  sum.replanning_ms += phases.replanning_ms;
+  sum.resumption_ms += phases.resumption_ms;
 }
 
 }  // namespace
 
 std::vector<Fault> AllFaults() {
-  return {Fault::kStageKilled,        Fault::kStageFrozen,
-          Fault::kConnectionSilenced, Fault::kLinkSlowed,
-          Fault::kHalfDomainGone,     Fault::kRouterKilled};
+  return {Fault::kStageKilled,       Fault::kStageFrozen,
+          Fault::kConnectionStalled, Fault::kLinkSlowed,
+          Fault::kHalfDomainKilled,  Fault::kRouterKilled};
 }
 
-Row Play(const Deployment& deployment, Fault fault, int rounds,
-         std::uint64_t seed) {
+Row RunFault(const Deployment& deployment, Fault fault, int rounds,
+             std::uint64_t seed) {
   Row row;
   row.deployment = deployment.name;
-  row.fault = Name(fault);
+  row.fault = FaultName(fault);
   std::vector<Sample> samples;
-  Split sum;
+  RecoveryPhases sum;
   for (int number = 0; number < rounds; ++number) {
     Round round(deployment, fault,
                 seed + kSeedStep * static_cast<std::uint64_t>(number));
     round.Run(row, samples);
-    AddTo(sum, round.RouterSplit());
+    AddPhases(sum, round.RouterPhases());
   }
   std::vector<std::int64_t> next_token;
-  std::vector<std::int64_t> old_pace;
+  std::vector<std::int64_t> pace_restored;
   for (const Sample& sample : samples) {
     next_token.push_back(sample.next_token);
-    old_pace.push_back(sample.old_pace);
+    pace_restored.push_back(sample.pace_restored);
   }
-  row.next_token = SpreadOf(next_token);
-  row.old_pace = SpreadOf(old_pace);
-  row.split = {sum.noticing_ms / rounds, sum.replanning_ms / rounds,
-               sum.resuming_ms / rounds};
+  row.next_token = QuantilesOf(next_token);
+  row.pace_restored = QuantilesOf(pace_restored);
+  row.phases = {sum.detection_ms / rounds, sum.replanning_ms / rounds,
+                sum.resumption_ms / rounds};
   return row;
 }
 
--- a/bench/recovery/scenario.h
+++ b/bench/recovery/scenario.h
@@ -10,34 +10,34 @@
 
 namespace toucanwharf::bench {
 
-/// One of the users' deployments, at the scale of one machine.
+/// A user's deployment, scaled down to one machine.
 struct Deployment {
   std::string name;
   std::array<std::string, 3> domains;
-  /// One way between callers and routers.
+  /// One-way delay between callers and routers.
   int client_delay_ms = 0;
-  /// Tokens of the prompts; a release note's is long, a round's short.
+  /// Prompt length: long for a release note, short for a round.
   std::uint32_t prompt_tokens = 0;
 };
 
-/// What goes wrong while answers stream.
+/// A fault to inject while answers stream.
 enum class Fault {
   kStageKilled,
   kStageFrozen,
-  kConnectionSilenced,
+  kConnectionStalled,
   kLinkSlowed,
-  kHalfDomainGone,
+  kHalfDomainKilled,
   kRouterKilled,
 };
 
 /// Returns all faults in the order of the table. Thread safety: safe.
 std::vector<Fault> AllFaults();
 
-/// Plays \p fault in \p rounds fresh fleets, with several answers under way in
-/// each, and returns the figures. Starts and ends processes.
+/// Injects \p fault into \p rounds new fleets, with several answers in flight
+/// in each, and returns the results. Starts and ends processes.
 /// Thread safety: none.
-Row Play(const Deployment& deployment, Fault fault, int rounds,
-         std::uint64_t seed);
+Row RunFault(const Deployment& deployment, Fault fault, int rounds,
+             std::uint64_t seed);
 
 }  // namespace toucanwharf::bench
 
--- a/lib/packages.cmake
+++ b/lib/packages.cmake
@@ -1,5 +1,5 @@
-# All packages, lowest first. A package may only name packages above its own
-# line.
+# All packages, lowest layer first. A package may depend only on packages that
+# are listed before it.
 tw_package(support DEPS Threads::Threads nlohmann_json::nlohmann_json
   OpenSSL::Crypto ZLIB::ZLIB absl::strings absl::str_format absl::hash)
 tw_package(store DEPS toucanwharf_support)
@@ -17,7 +17,7 @@
 tw_package(routing DEPS toucanwharf_support)
 tw_package(admission DEPS toucanwharf_routing)
 tw_package(pipeline DEPS toucanwharf_support)
-# What requests that are passed on unchanged need: decisions without I/O.
+# Decisions without I/O for requests that are proxied unchanged.
 tw_package(placement DEPS toucanwharf_pipeline)
 tw_package(routes DEPS toucanwharf_placement absl::flat_hash_map absl::strings)
 tw_package(attempts DEPS toucanwharf_routes)
@@ -26,7 +26,7 @@
 tw_package(eventlog DEPS toucanwharf_support absl::strings)
 tw_package(once DEPS toucanwharf_store)
 tw_package(control DEPS toucanwharf_records toucanwharf_store)
-# The stand-ins' arithmetic; a library so that tests and tools can use it.
+# The stand-ins' computations, as a library for tests and tools.
 tw_package(standins DEPS toucanwharf_support)
 target_include_directories(toucanwharf_standins INTERFACE ${CMAKE_SOURCE_DIR})
 if(NOT TOUCANWHARF_CORE_ONLY)
@@ -65,7 +65,7 @@
   tw_package(command DEPS toucanwharf_transport toucanwharf_records
     toucanwharf_store toucanwharf_timeline toucanwharf_eventlog
     toucanwharf_standins)
-  # cxxopts trips this false warning of g++ 12 (GCC bug 105329).
+  # g++ 12 reports this false positive for cxxopts (GCC bug 105329).
   set_source_files_properties(${CMAKE_SOURCE_DIR}/lib/command/options.cc
     PROPERTIES COMPILE_OPTIONS $<$<CXX_COMPILER_ID:GNU>:-Wno-restrict>)
   target_compile_definitions(toucanwharf_command PRIVATE
@@ -74,17 +74,17 @@
   tw_package(daemon DEPS toucanwharf_platform toucanwharf_records
     toucanwharf_settings toucanwharf_pipeline toucanwharf_timeline
     toucanwharf_admission toucanwharf_exchange glog::glog)
-  # Boost 1.74's quantile accumulator trips this warning in g++ 12.
+  # g++ 12 reports this warning for Boost 1.74's quantile accumulator.
   set_source_files_properties(${CMAKE_SOURCE_DIR}/lib/daemon/metrics.cc
     PROPERTIES COMPILE_OPTIONS -Wno-maybe-uninitialized)
-  # Loaded by toucanwharfd where it serves its own interface.
+  # Module that toucanwharfd loads if it serves its own interface.
   add_library(toucanwharf_router MODULE tools/toucanwharfd/module/serve.cc)
   target_link_libraries(toucanwharf_router PRIVATE tw_options
     toucanwharf_daemon)
   target_include_directories(toucanwharf_router PRIVATE
     ${CMAKE_SOURCE_DIR}/tools)
-  # Only its entry point is seen from outside: the program has its own copies of
-  # the libraries that both are linked to.
+  # Exports only its entry point: the program has its own copies of the libraries
+  # that both are linked to.
   target_link_options(toucanwharf_router PRIVATE -Wl,--exclude-libs,ALL)
   tw_position_independent(toucanwharf_daemon peers_generated)
   tw_program(toucanwharfd tools/toucanwharfd DEPS toucanwharf_adapter
--- a/utils/capacity.sh
+++ b/utils/capacity.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what control costs each router, at several sizes of the fleet, with
+# Measures the cost of the control plane per router at several fleet sizes, with
 # real processes on loopback, and prints the tables of docs/CAPACITY.md. Takes
-# about 8 minutes; arguments go to bench_capacity (see --help).
+# about 8 minutes. Arguments are passed to bench_capacity (see --help).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 utils/install_packages.sh
--- a/utils/check.sh
+++ b/utils/check.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Everything that has to hold before a change lands: formatter, linter, build
-# with -Werror, all tests, the core's tests under ASan and UBSan, and the tests
-# in which threads meet under TSan. Needs a Debian 12 machine; installs what is
-# missing. The last lines are ctest's summary of the main build.
+# Runs all checks required before a change is merged: formatter, linter, build
+# with -Werror, all tests, the tests of the libraries without I/O under ASan and
+# UBSan, and the multithreaded tests under TSan. Needs Debian 12 and installs
+# missing packages. The last lines are ctest's summary of the main build.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 utils/install_packages.sh
@@ -23,7 +23,7 @@
 ninja -C build-asan -j "$jobs" --quiet
 ctest --test-dir build-asan --output-on-failure -j "$jobs" || utils/known_red.sh build-asan
 if [ -x utils/check_threads.sh ]; then
-  step "TSan: where threads meet"
+  step "TSan: multithreaded code"
   utils/check_threads.sh
 fi
 step "all tests"
--- a/utils/check_threads.sh
+++ b/utils/check_threads.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# ThreadSanitizer on the tests of the code in which threads meet: the listener's
-# threads, the event loop and whoever posts to it. All else runs on one thread.
+# Runs the tests of the multithreaded code under ThreadSanitizer: the listener's
+# threads, the event loop and the threads that post to it. All other code runs on
+# one thread.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 jobs=${JOBS:-$(nproc)}
--- a/utils/demo.sh
+++ b/utils/demo.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays a round for Atlas and one for Rangi Nziza on this machine's loopback:
+# Demonstrates the Atlas and Rangi Nziza deployments on this machine's loopback:
 # builds everything, starts a platform stand-in, model engines of different
-# speed, a plain service and six routers, writes the example records, makes
-# calls, then kills an engine and a router while answers stream. Exits 0 if
-# every answer was whole and right, else 1 with the reason. Everything it
-# starts is stopped again; logs stay in the folder that it names.
+# speeds, a plain service and six routers, writes the example records, makes
+# calls, then kills an engine and a router while answers stream. Exits 0 if every
+# answer was complete and correct, else 1 with the reason. Stops every process
+# that it started; if it fails, it prints the folder of the logs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -33,7 +33,7 @@
 }
 trap stop_all EXIT
 
-# Starts a program in the background, its pid in $started.
+# Starts a program in the background and sets $started to its pid.
 start() {
   local name=$1
   shift
@@ -47,18 +47,18 @@
   wait "$1" 2>/dev/null || true
 }
 
-# Waits until a stand-in says where it listens; the address is in $address.
+# Waits until a stand-in prints its listen address, and sets $address to it.
 await_address() {
-  local try
-  for ((try = 0; try < wait_seconds * 20; try++)); do
+  local attempt
+  for ((attempt = 0; attempt < wait_seconds * 20; attempt++)); do
     address=$(sed -n 's/^listening //p' "$logs/$1.out" 2>/dev/null || true)
     [ -n "$address" ] && return
     sleep 0.05
   done
-  fail "$1 does not listen"
+  fail "$1 printed no listen address within $wait_seconds s"
 }
 
-# Finds a port on which nothing listens; it is in $port.
+# Sets $port to a port on which nothing listens.
 next_port=$((20000 + RANDOM % 8000))
 find_port() {
   while (exec 3<>"/dev/tcp/127.0.0.1/$next_port") 2>/dev/null; do
@@ -80,7 +80,8 @@
 EOF
 }
 
-# The platform lists the instances that it runs; the stand-in has to be told.
+# Registers a router with the platform stand-in. A real platform lists the
+# instances that it runs by itself.
 list_router() {
   local body
   body=$(printf '{"id": "%s", "role": "router", "service": "", "state": "live", "failure_domain": "%s", "address": "127.0.0.1:%s", "admin_address": "127.0.0.1:%s", "peer_address": "127.0.0.1:%s"}' "$@")
@@ -89,7 +90,7 @@
     "${#body}" "$body" >&3
   cat <&3 >"$logs/listed"
   exec 3>&-
-  grep -q ' 200 ' "$logs/listed" || fail "$1 is not listed"
+  grep -q ' 200 ' "$logs/listed" || fail "the platform did not register $1"
 }
 
 start_router() {
@@ -99,7 +100,7 @@
   find_port; peers=$port
   write_settings "$name" "$domain" "$region" "$callers" "$admin" "$peers"
   "$build/toucanwharfd" --settings "$logs/$name.json" --check-settings >/dev/null ||
-    fail "settings of $name"
+    fail "invalid settings of $name"
   start "$name" "$build/toucanwharfd" --settings "$logs/$name.json"
   list_router "$name" "$domain" "$callers" "$admin" "$peers"
   router_pids+=("$started")
@@ -116,20 +117,20 @@
 
 join() { local IFS=,; echo "$*"; }
 
-# Waits until a router serves the customer and answers with the model.
+# Waits until each router answers the customer's calls to the model.
 await_ready() {
-  local entry try
+  local entry attempt
   for entry in "${entries[@]}"; do
-    for ((try = 0; try < wait_seconds * 5; try++)); do
+    for ((attempt = 0; attempt < wait_seconds * 5; attempt++)); do
       "$command" call --direct --entry "$entry" --max-tokens 1 \
         chat "$model" ready >/dev/null 2>&1 && break
       sleep 0.2
     done
-    [ "$try" -lt $((wait_seconds * 5)) ] || fail "router $entry is not ready"
+    [ "$attempt" -lt $((wait_seconds * 5)) ] || fail "router $entry is not ready"
   done
 }
 
-# One answer from each router, streamed in the background.
+# Streams one answer from each router in the background.
 start_answers() {
   local index rotated
   answer_pids=()
@@ -187,7 +188,7 @@
   "$command" apply --wait-ms 20000 "examples/$deployment" || fail "apply"
   await_ready
 
-  say "$deployment: which entries to use"
+  say "$deployment: advised entry instances"
   "$command" entries || fail "entries"
   say "$deployment: a streamed answer"
   "$command" call --verify --max-tokens 24 chat "$model" "$prompt" || fail "chat"
@@ -201,14 +202,14 @@
   sleep 0.4
   kill_hard "${router_pids[0]}"
   await_answers
-  [ "$(interrupted 0)" -eq 1 ] || fail "the killed router's answer was not cut"
+  [ "$(interrupted 0)" -eq 1 ] || fail "the killed router's answer was not interrupted"
 
-  say "$deployment: what the service ran"
+  say "$deployment: calls that the service ran"
   "$command" call service "$service" GET /_runs | tee "$logs/runs.out"
   grep -q '"doubled": *\[\]' "$logs/runs.out" || fail "a call ran twice"
   say "$deployment: status"
   "$command" status || fail "status"
-  say "$deployment: time line (last lines)"
+  say "$deployment: timeline (last lines)"
   "$command" timeline 2>/dev/null | tail -n 15 || fail "timeline"
   stop_all
 }
@@ -226,4 +227,4 @@
   /jobs/J-77/done "Plan paint and surface for cabinet 77" \
   kg-nyarugenge kg-gasabo kg-kicukiro
 rm -rf "$logs"
-say "demo passed in ${SECONDS} s: every answer whole and right"
+say "demo passed in ${SECONDS} s: every answer complete and correct"
--- a/utils/generate_protocols.sh
+++ b/utils/generate_protocols.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Writes the code of proto/ anew. Needs protobuf-compiler and
-# protobuf-compiler-grpc; the result is committed, so builds need neither.
+# Regenerates the C++ code of proto/. Needs protobuf-compiler and
+# protobuf-compiler-grpc. The result is committed, so builds need neither.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 protoc -I proto --cpp_out=lib/peers/generated --grpc_out=lib/peers/generated \
--- a/utils/lint.sh
+++ b/utils/lint.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Formatter and linter. With --fix the formatter rewrites the files.
-# A linter pass is remembered by the hash of the file, what it includes of the
-# project and the configuration, so that only what may have changed is read
-# again.
+# Runs the formatter and the linter. With --fix, only reformats the files.
+# Successful linter runs are cached by the hash of the source file, the project
+# headers that it includes and the linter configuration, so that only affected
+# files are linted again.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
@@ -19,7 +19,7 @@
 sources '*.cc' '*.h' | xargs -r clang-format --dry-run -Werror
 
 export build cache
-# The project's files that a source file includes, itself first.
+# Prints the project's files that a source file depends on, itself first.
 includes_of() {
   g++ -std=c++20 -MM -Iinclude -I. -Itools -Ilib/peers/generated "$1" |
     tr -d '\\' | tr ' ' '\n' | sed -n '2,$p' | grep -v '^$'
@@ -31,7 +31,8 @@
 }
 export -f includes_of
 export -f lint_one
-# Only files that the build knows; a core-only build lints the core only.
+# Lints only files in the build's compile commands: a core-only build lints only
+# the core.
 sources '*.cc' | while read -r file; do
   grep -q "/$file\"" "$build/compile_commands.json" && echo "$file"
 done | xargs -r -P "$jobs" -I{} bash -c 'lint_one {}'
--- a/utils/lost_worth.py
+++ b/utils/lost_worth.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Says why answers of a played day were late or missing.
+"""Reports why answers of a simulated day were late or missing.
 
 usage: lost_worth.py LOG [--objective MS] [--pause MS] [--window S]
 
-LOG holds what the instances wrote, each line as "TIME INSTANCE {json}". Each
-request's last `finished` or `refused` line decides its cause; the table has a
-row for each window of the day and a column for each cause that occurred.
-Requests that no instance saw (no connection) are not in the logs.
+LOG holds the instances' log lines, each as "TIME INSTANCE {json}". Each
+`finished` or `refused` line of a request is counted under its cause. The table
+has a row per window of the day that lists the causes by frequency.
+Requests that reached no instance (no connection) are not in the logs.
 """
 import argparse
 import collections
@@ -16,32 +16,32 @@
 LINE = re.compile(r"^\s*(-?[0-9.]+) (\S+) (\{.*\})$")
 
 
-def cause_of(entry, tries, options):
-    """Returns why the request lost worth, or None if it was on time."""
+def cause_of(entry, attempts, options):
+    """Returns why the answer was late or missing, or None if it was on time."""
     if entry["event"] == "refused":
         return "refused: " + entry["why"]
     outcome = entry["outcome"]
     if outcome == "refused":
-        return None  # its `refused` line tells why
+        return None  # its `refused` line states the reason
     if outcome != "answered":
-        return outcome + ": " + (tries[-1] if tries else "untried elsewhere")
+        return outcome + ": " + (attempts[-1] if attempts else "untried elsewhere")
     if entry.get("first_event_ms", 0) > options.objective:
-        return "late first event" + (": " + tries[0] if tries else "")
+        return "late first event" + (": " + attempts[0] if attempts else "")
     if entry.get("longest_pause_ms", 0) > options.pause:
-        return "long pause" + (": " + tries[-1] if tries else "")
+        return "long pause" + (": " + attempts[-1] if attempts else "")
     return None
 
 
 def read(path):
     with open(path, encoding="utf-8", errors="replace") as lines:
         for line in lines:
-            found = LINE.match(line)
-            if not found:
+            match = LINE.match(line)
+            if not match:
                 continue
             try:
-                yield float(found[1]), found[2], json.loads(found[3])
+                yield float(match[1]), match[2], json.loads(match[3])
             except json.JSONDecodeError:
-                continue  # a line that was cut off at the end of the day
+                continue  # truncated when the day ended
 
 
 def main():
@@ -52,31 +52,31 @@
     parser.add_argument("--window", type=float, default=2)
     parser.add_argument("--ids", help="print the requests of this cause")
     options = parser.parse_args()
-    tries = collections.defaultdict(list)
+    attempts = collections.defaultdict(list)
     windows = collections.defaultdict(collections.Counter)
     total = collections.Counter()
-    for at, instance, entry in read(options.log):
+    for time_seconds, instance, entry in read(options.log):
         request = entry.get("request")
         event = entry["event"]
         if event == "try_ended":
-            tries[request].append(entry["why"])
+            attempts[request].append(entry["why"])
         elif event == "repathed":
-            tries[request].append("changed path")
+            attempts[request].append("changed path")
         if event not in ("finished", "refused"):
             continue
-        cause = cause_of(entry, tries[request], options)
+        cause = cause_of(entry, attempts[request], options)
         if cause is None:
             continue
         if options.ids and options.ids in cause:
-            print(f"{at:9.3f} {instance} {json.dumps(entry)} {tries[request]}")
-        windows[int(at // options.window)][cause] += 1
+            print(f"{time_seconds:9.3f} {instance} {json.dumps(entry)} {attempts[request]}")
+        windows[int(time_seconds // options.window)][cause] += 1
         total[cause] += 1
     for number in sorted(windows):
-        row = ", ".join(f"{n} {why}" for why, n in windows[number].most_common())
+        row = ", ".join(f"{count} {cause}" for cause, count in windows[number].most_common())
         print(f"{number * options.window:6.0f} s  {row}")
     print("all day")
-    for why, count in total.most_common():
-        print(f"{count:6d}  {why}")
+    for cause, count in total.most_common():
+        print(f"{count:6d}  {cause}")
 
 
 if __name__ == "__main__":
