--- a/bench/decisions/engines.h
+++ b/bench/decisions/engines.h
@@ -30,7 +30,7 @@
 /// queue, which favours the baselines, whose queues are long.
 class FakeEngine {
  public:
-  explicit FakeEngine(const Chain& served) : chain(served) {}
+  explicit FakeEngine(const Chain& served_chain) : chain(served_chain) {}
 
   void Enqueue(const PlacedJob& placed) { this->queue.push_back(placed); }
 
--- a/bench/decisions/routers.cc
+++ b/bench/decisions/routers.cc
@@ -52,11 +52,11 @@
                   static_cast<std::uint32_t>(next->endpoints.front())};
 }
 
-void AdmissionRouter::Finished(TimePoint now, const Job& job, bool whole) {
+void AdmissionRouter::Finished(TimePoint now, const Job& job, bool complete) {
   this->controller.Finished(
       now, std::to_string(job.id),
-      whole ? admission::Outcome::kWhole : admission::Outcome::kCancelled,
-      whole ? job.output_tokens : 0);
+      complete ? admission::Outcome::kWhole : admission::Outcome::kCancelled,
+      complete ? job.output_tokens : 0);
 }
 
 void AdmissionRouter::Report(std::uint32_t chain,
--- a/bench/decisions/routers.h
+++ b/bench/decisions/routers.h
@@ -46,7 +46,7 @@
   /// Returns false if the job is refused immediately.
   bool Offer(TimePoint now, const Job& job);
   std::optional<Dispatch> Next(TimePoint now);
-  void Finished(TimePoint now, const Job& job, bool whole);
+  void Finished(TimePoint now, const Job& job, bool complete);
   void Report(std::uint32_t chain, const routing::LoadReport& report);
   /// Returns how many waiting jobs were refused, as they would be late.
   std::size_t Tick(TimePoint now);
@@ -69,7 +69,7 @@
 
   bool Offer(TimePoint now, const Job& job);
   std::optional<Dispatch> Next(TimePoint now);
-  void Finished(TimePoint now, const Job& job, bool whole);
+  void Finished(TimePoint now, const Job& job, bool complete);
   void Report(std::uint32_t chain, const routing::LoadReport& report);
   std::size_t Tick(TimePoint) { return 0; }
   admission::Usage Served() const { return {}; }
--- a/bench/once/main.cc
+++ b/bench/once/main.cc
@@ -178,8 +178,9 @@
   }
 
   void Run(double rate) {
-    ScheduleArrivals(this->scheduler, rate,
-                     [this](std::uint64_t number) { this->Arrive(number); });
+    ScheduleArrivals(this->scheduler, rate, [this](std::uint64_t number) {
+      this->HandleArrival(number);
+    });
     this->PollAll();
     this->scheduler.RunUntil(TimePoint{kRunTime + kCallerTimeout});
   }
@@ -190,7 +191,7 @@
     return 1'000'000 + static_cast<std::uint64_t>(passed);
   }
 
-  void Arrive(std::uint64_t number) {
+  void HandleArrival(std::uint64_t number) {
     const std::uint64_t hash = MixBits(number);
     const std::size_t shard = hash % kShards;
     const std::size_t router = this->by_owner ? shard : (hash >> 32) % kRouters;
--- a/lib/packages.cmake
+++ b/lib/packages.cmake
@@ -83,8 +83,8 @@
     toucanwharf_daemon)
   target_include_directories(toucanwharf_router PRIVATE
     ${CMAKE_SOURCE_DIR}/tools)
-  # Exports only its entry point: the program has its own copies of the libraries
-  # that both are linked to.
+  # Exports only its entry point: the program has its own copies of the
+  # libraries that both are linked to.
   target_link_options(toucanwharf_router PRIVATE -Wl,--exclude-libs,ALL)
   tw_position_independent(toucanwharf_daemon peers_generated)
   tw_program(toucanwharfd tools/toucanwharfd DEPS toucanwharf_adapter
--- a/utils/check_threads.sh
+++ b/utils/check_threads.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs the tests of the multithreaded code under ThreadSanitizer: the listener's
-# threads, the event loop and the threads that post to it. All other code runs on
-# one thread.
+# threads, the event loop and the threads that post to it. All other code runs
+# on one thread.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 jobs=${JOBS:-$(nproc)}
--- a/utils/demo.sh
+++ b/utils/demo.sh
@@ -2,9 +2,9 @@
 # Demonstrates the Atlas and Rangi Nziza deployments on this machine's loopback:
 # builds everything, starts a platform stand-in, model engines of different
 # speeds, a plain service and six routers, writes the example records, makes
-# calls, then kills an engine and a router while answers stream. Exits 0 if every
-# answer was complete and correct, else 1 with the reason. Stops every process
-# that it started; if it fails, it prints the folder of the logs.
+# calls, then kills an engine and a router while answers stream. Exits 0 if
+# every answer was complete and correct, else 1 with the reason. Stops every
+# process that it started; if it fails, it prints the folder of the logs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -154,8 +154,8 @@
 
 interrupted() { grep -c '"interruptions":[1-9]' "$logs/answer-$1.out" || true; }
 
-# play DEPLOYMENT REGION MODEL VERSION LAYERS SERVICE CUSTOMER PATH PROMPT DOMAINS...
-play() {
+# run_deployment DEPLOYMENT REGION MODEL VERSION LAYERS SERVICE CUSTOMER PATH PROMPT DOMAINS...
+run_deployment() {
   local deployment=$1 region=$2 version=$4 layers=$5 service=$6 customer=$7 path=$8
   model=$3 prompt=$9
   local domains=("${@:10}")
@@ -172,7 +172,7 @@
   start_engine first-fast "${domains[0]}" "$model-base" "$version" "0-$half" 300
   start_engine first-slow "${domains[1]}" "$model-base" "$version" "0-$half" 600
   start_engine last-fast "${domains[0]}" "$model-base" "$version" "$half-$layers" 300
-  local doomed_engine=$started
+  local engine_to_kill=$started
   start_engine last-slow "${domains[2]}" "$model-base" "$version" "$half-$layers" 600
   start service "$build/standin_service" --service "$service" --id "$service-1" \
     --failure-domain "${domains[1]}" --platform "$TOUCANWHARF_PLATFORM"
@@ -198,7 +198,7 @@
   say "$deployment: $routers answers stream; an engine and a router are killed"
   start_answers
   sleep 0.6
-  kill_hard "$doomed_engine"
+  kill_hard "$engine_to_kill"
   sleep 0.4
   kill_hard "${router_pids[0]}"
   await_answers
@@ -220,10 +220,10 @@
 ninja -C "$build" --quiet -j "${JOBS:-$(nproc)}" toucanwharf toucanwharfd toucanwharf_router \
   standin_platform standin_engine standin_service
 SECONDS=0
-play atlas casablanca qa-model qa-2026-11 32 lot-records berrechid-release \
+run_deployment atlas casablanca qa-model qa-2026-11 32 lot-records berrechid-release \
   /lots/L-2041/sign "Summarise the deviations of lot L-2041" \
   casa-a casa-b berrechid
-play rangi kigali brush-model brush-7 24 rounds-app nyarugenge-crew \
+run_deployment rangi kigali brush-model brush-7 24 rounds-app nyarugenge-crew \
   /jobs/J-77/done "Plan paint and surface for cabinet 77" \
   kg-nyarugenge kg-gasabo kg-kicukiro
 rm -rf "$logs"
--- a/utils/lost_worth.py
+++ b/utils/lost_worth.py
@@ -72,7 +72,7 @@
         windows[int(time_seconds // options.window)][cause] += 1
         total[cause] += 1
     for number in sorted(windows):
-        row = ", ".join(f"{count} {cause}" for cause, count in windows[number].most_common())
+        row = ", ".join(f"{n} {cause}" for cause, n in windows[number].most_common())
         print(f"{number * options.window:6.0f} s  {row}")
     print("all day")
     for cause, count in total.most_common():
--- a/utils/plot_day.py
+++ b/utils/plot_day.py
@@ -44,7 +44,7 @@
     windows, events = report["windows"], report["events"]
     window_seconds = float(windows[1]["name"]) - float(windows[0]["name"])
     end_seconds = float(windows[-1]["name"]) + window_seconds
-    max_requests = max(1, max(sum(window[key] for key, _, _ in COLORS) for window in windows))
+    max_requests = max(1, max(sum(w[key] for key, _, _ in COLORS) for w in windows))
 
     def x_of(second):
         return LEFT + (WIDTH - LEFT - 20) * min(max(second, 0), end_seconds) / end_seconds
