--- a/include/toucanwharf/http/client.h
+++ b/include/toucanwharf/http/client.h
@@ -12,32 +12,32 @@
 
 namespace toucanwharf::http {
 
-/// Names one call of a client; 0 names none.
+/// Identifies a call of one client; 0 identifies none.
 using CallId = std::uint64_t;
 
-/// Whether a connection that served before may be used. A request that must
-/// not run twice gets a fresh one: on a kept connection the peer's close may
-/// cross the request, and then nobody knows whether it ran.
+/// Whether a call may reuse an idle connection. A request that must not run
+/// twice gets a new one: the peer may close an idle connection while the
+/// request is in flight, and it is then unknown whether the request ran.
 enum class Reuse { kAllowed, kNever };
 
 /// How a call ended.
 enum class CallEnd {
-  /// The response came whole.
+  /// The complete response was received.
   kComplete,
-  /// No connection; no byte was sent.
+  /// No connection was established; no byte was sent.
   kNotConnected,
-  /// The connection ended before the response did.
+  /// The connection closed before the response was complete.
   kBroken,
-  /// What came is no response.
+  /// The bytes received are not a valid response.
   kMalformed,
 };
 
 struct CallResult {
   CallEnd end = CallEnd::kBroken;
-  /// Whether any byte of the request may have left. False is certain.
+  /// Whether any byte of the request may have been sent. False is certain.
   bool sent = false;
-  /// Whether the connection had served before; a break before any answer then
-  /// says little of the peer.
+  /// Whether the connection had served an earlier call; its loss before any
+  /// response then says little about the peer.
   bool reused = false;
 
   friend bool operator==(const CallResult&, const CallResult&) = default;
@@ -45,12 +45,12 @@
 
 struct CallOptions {
   Reuse reuse = Reuse::kAllowed;
-  /// A connection that isn't there after this long is given up. A lost first
-  /// packet is sent again by the kernel only after a second.
+  /// A connection attempt fails after this long. The kernel retransmits a
+  /// lost first packet only after a second.
   Duration connect_timeout = std::chrono::milliseconds(400);
 };
 
-/// Callbacks of one call; none comes after on_done or Cancel, and none inside
+/// Callbacks of one call; none runs after on_done or Cancel, and none inside
 /// Start.
 struct CallHandlers {
   std::function<void(const ResponseHead&)> on_head;
@@ -58,9 +58,9 @@
   std::function<void(const CallResult&)> on_done;
 };
 
-/// Sends HTTP requests, one at a time on each connection, and keeps idle
-/// connections. It repeats nothing and follows no redirects. Bytes that come
-/// on an idle connection, or beyond a response, close it.
+/// Sends HTTP requests, one at a time on each connection, and pools idle
+/// connections. It never retries and follows no redirects. Bytes received on
+/// an idle connection, or after the end of a response, close it.
 /// Thread safety: only on the loop's thread.
 class Client {
  public:
@@ -70,7 +70,7 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Sends \p request to \p address ("IP:PORT"). Content-Length is set here.
+  /// Sends \p request to \p address ("IP:PORT"). Sets Content-Length.
   CallId Start(const std::string& address, const Request& request,
                const CallOptions& options, CallHandlers handlers);
   /// Closes the call's connection; a call that has ended, or 0, is ignored.
@@ -82,24 +82,24 @@
   std::shared_ptr<State> state;
 };
 
-/// How long a call that collects the body may take.
+/// Timeouts of a call that collects the response body.
 struct FetchLimits {
-  /// Both are \p timeout.
-  // NOLINTNEXTLINE(google-explicit-constructor): most calls have one figure
-  FetchLimits(Duration timeout) : silence(timeout), whole(timeout) {}
-  FetchLimits(Duration longest_silence, Duration longest)
-      : silence(longest_silence), whole(longest) {}
+  /// Sets both to \p timeout.
+  // NOLINTNEXTLINE(google-explicit-constructor): most callers pass one value
+  FetchLimits(Duration timeout) : inactivity(timeout), total(timeout) {}
+  FetchLimits(Duration max_inactivity, Duration max_total)
+      : inactivity(max_inactivity), total(max_total) {}
 
-  /// Without a byte of the answer for so long the peer counts as gone.
-  Duration silence;
-  /// From the start to the answer's end.
-  Duration whole;
+  /// Longest time without a byte of the response.
+  Duration inactivity;
+  /// Longest time from the start to the end of the response.
+  Duration total;
 
   friend bool operator==(const FetchLimits&, const FetchLimits&) = default;
 };
 
-/// A call that collects the body, ended by \p limits. \p done gets the result,
-/// the head and the body; a call that was given up counts as broken.
+/// Starts a call that collects the body. \p done gets the result, the head and
+/// the body; a call that exceeds \p limits is cancelled and ends as kBroken.
 void Fetch(Loop& loop, Client& client, const std::string& address,
            const Request& request, const FetchLimits& limits,
            std::function<void(const CallResult&, const ResponseHead&,
--- a/include/toucanwharf/http/datagram.h
+++ b/include/toucanwharf/http/datagram.h
@@ -27,9 +27,9 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  /// Sends \p payload; a datagram that the kernel can't take now is lost, as
-  /// any may be. Returns why it could not be sent, if it couldn't: more than
-  /// 65,507 bytes never can.
+  /// Sends \p payload. A datagram that the kernel can't accept now is lost, as
+  /// any datagram may be. Returns the error if it could not be sent; one of
+  /// more than 65,507 bytes never can.
   std::error_code Send(const std::string& address, std::string_view payload);
 
   struct State;
--- a/include/toucanwharf/http/event_splitter.h
+++ b/include/toucanwharf/http/event_splitter.h
@@ -8,30 +8,30 @@
 
 namespace toucanwharf::http {
 
-/// Cuts a stream of server-sent events into whole events, bytes unchanged.
+/// Splits a stream of server-sent events into complete events, bytes unchanged.
 ///
-/// Failure guarded against: an endpoint dies in the middle of an event. If its
-/// bytes had been handed on, the rest of the stream, from another endpoint,
-/// would be glued to half an event. So an event goes out only when it is whole.
+/// Guards against an endpoint that fails in the middle of an event: if part of
+/// the event had been forwarded, the continuation from another endpoint would
+/// be appended to it. So an event is released only when it is complete.
 /// Thread safety: none.
 class EventSplitter {
  public:
-  /// Adds bytes as they come.
+  /// Appends received bytes.
   void Feed(std::string_view bytes) { this->pending.append(bytes); }
-  /// Returns the bytes of all whole events that are pending, and drops them;
-  /// empty if none is whole.
+  /// Removes and returns the bytes of all complete pending events; empty if
+  /// none is complete.
   std::string TakeCompleteEvents();
-  /// Forgets a part of an event.
+  /// Discards a partial event.
   void DropPartialEvent() { this->pending.clear(); }
-  /// Returns whether part of an event is pending.
+  /// Returns whether a partial event is pending.
   bool HasPartialEvent() const { return !this->pending.empty(); }
   /// Returns the id of the last event that TakeCompleteEvents returned.
   const std::optional<std::string>& LastId() const { return this->last_id; }
-  /// Sets the id to go on from before the first event.
+  /// Sets the id to resume from before the first event.
   void SetLastId(std::string id) { this->last_id = std::move(id); }
 
  private:
-  void NoteIds(std::string_view events);
+  void RecordLastId(std::string_view events);
 
   std::string pending;
   std::optional<std::string> last_id;
--- a/include/toucanwharf/http/loop.h
+++ b/include/toucanwharf/http/loop.h
@@ -9,11 +9,11 @@
 
 namespace toucanwharf::http {
 
-/// Names a timer of one loop; 0 names none.
+/// Identifies a timer of one loop; 0 identifies none.
 using TimerId = std::uint64_t;
 
-/// The one thread of a process on which sockets are served and all decisions
-/// are taken, so that the core needs no locks.
+/// Event loop of the single thread of a process that serves sockets and runs
+/// all state changes, so that the core needs no locks.
 /// Thread safety: all methods only on the thread that runs the loop, or before
 /// Run; Post and Stop from any thread.
 class Loop {
@@ -25,30 +25,30 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  /// Runs \p task soon, never inside this call.
+  /// Queues \p task; never runs it inside this call.
   void Post(Task task);
   /// Runs \p task once, \p delay from now on the boot clock.
   TimerId After(Duration delay, Task task);
   /// Runs \p task every \p period, first after one period.
   void Every(Duration period, const Task& task);
-  /// Forgets a timer; one that has run, or 0, is ignored.
+  /// Cancels a timer; one that has run, or 0, is ignored.
   void Cancel(TimerId id);
   /// Runs \p task on the loop at each signal \p number.
   void OnSignal(int number, Task task);
   /// Serves until Stop. Precondition: called once.
   void Run();
-  /// Makes Run return soon.
+  /// Makes Run return after the current task.
   void Stop();
   /// Returns the time on the clock that the timers use.
   TimePoint Now() const { return this->clock.Now(); }
 
   struct State;
-  /// Returns what the sockets of this library need.
-  State& Inner() { return *this->state; }
+  /// Returns the state shared with the sockets of this library.
+  State& InternalState() { return *this->state; }
 
  private:
-  void Arm();
-  void RunDue();
+  void ArmAlarm();
+  void RunDueTimers();
 
   BootClock clock;
   std::unique_ptr<State> state;
--- a/include/toucanwharf/http/message.h
+++ b/include/toucanwharf/http/message.h
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
-/// HTTP/1.1 on both sides of a router that passes messages on unchanged. The
-/// parser is Boost.Beast's, the sockets are Boost.Asio's.
+/// HTTP/1.1 client and server of a router that forwards messages unchanged.
+/// Parses with Boost.Beast and uses the sockets of Boost.Asio.
 namespace toucanwharf::http {
 
 inline constexpr int kOk = 200;
@@ -27,11 +27,11 @@
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 
-/// Returns whether \p left and \p right are equal but for the case of ASCII
+/// Returns whether \p left and \p right are equal, ignoring the case of ASCII
 /// letters. Thread safety: safe.
 bool EqualIgnoringCase(std::string_view left, std::string_view right);
 
-/// Header fields in the order in which they came, repeated ones included.
+/// Header fields in the order received, including repeated ones.
 class Headers {
  public:
   using Field = std::pair<std::string, std::string>;
@@ -44,7 +44,7 @@
   void Remove(std::string_view name);
   /// Returns the first value of \p name, or nothing.
   std::optional<std::string_view> Find(std::string_view name) const;
-  /// Returns the first value of \p name, or an empty text.
+  /// Returns the first value of \p name, or an empty string.
   std::string_view Get(std::string_view name) const {
     return this->Find(name).value_or(std::string_view());
   }
@@ -58,13 +58,13 @@
   std::vector<Field> fields;
 };
 
-/// Returns \p headers without those that concern one connection only: the
-/// standard ones, and those that a Connection field names. Content-Length is
-/// one of them here: whoever sends the message frames it anew.
+/// Returns \p headers without the hop-by-hop fields: the standard ones, and
+/// those that a Connection field lists. Also removes Content-Length, because
+/// the sender of the message frames it again.
 /// Thread safety: safe.
 Headers EndToEnd(const Headers& headers);
 
-/// A request as its sender wrote it; the target is not decoded.
+/// A request as received; the target is not percent-decoded.
 struct Request {
   std::string method = "GET";
   std::string target = "/";
@@ -79,13 +79,13 @@
   int status = 0;
   std::string reason;
   Headers headers;
-  /// Length of the body; nothing when only the end of the message tells.
+  /// Length of the body; absent when the framing doesn't announce it.
   std::optional<std::uint64_t> length;
 
   friend bool operator==(const ResponseHead&, const ResponseHead&) = default;
 };
 
-/// Returns the path of \p target, without the query. Thread safety: safe.
+/// Returns \p target without the query. Thread safety: safe.
 std::string_view PathOf(std::string_view target);
 
 /// Returns the value of \p name in the query of \p target with percent signs
--- a/include/toucanwharf/http/server.h
+++ b/include/toucanwharf/http/server.h
@@ -14,12 +14,12 @@
 
 namespace toucanwharf::http {
 
-/// What one caller may send and how long it may take; the operator's figures
-/// replace these.
+/// Limits on the size and duration of one caller's requests. The defaults
+/// apply until the configuration sets others.
 struct ServerLimits {
-  /// Bytes of a request's head.
+  /// Largest head of a request, in bytes.
   std::uint32_t max_header_bytes = 16 * 1024;
-  /// Bytes of a request's body.
+  /// Largest body of a request, in bytes.
   std::uint64_t max_body_bytes = 4ULL * 1024 * 1024;
   /// From a request's first byte to the end of its head.
   Duration header_timeout = std::chrono::seconds(3);
@@ -29,7 +29,7 @@
   friend bool operator==(const ServerLimits&, const ServerLimits&) = default;
 };
 
-/// One request and the way to answer it. Exactly one of: Respond; Begin then
+/// One request and its response. Call exactly one of: Respond; Begin then
 /// Write and End; or Abort at any time before the end.
 /// Thread safety: only on the loop's thread.
 class Exchange {
@@ -39,30 +39,30 @@
   virtual const Request& Received() const = 0;
   /// Sends a whole response.
   virtual void Respond(const ResponseHead& head, std::string_view body) = 0;
-  /// Sends the head; a body without a length goes out in chunks.
+  /// Sends the head; a body without a length is sent with chunked encoding.
   virtual void Begin(const ResponseHead& head) = 0;
-  /// Sends a piece of the body at once. Precondition: Begin was called.
+  /// Sends part of the body immediately. Precondition: Begin was called.
   virtual void Write(std::string_view bytes) = 0;
-  /// Ends the body that Begin began.
+  /// Ends the body started by Begin.
   virtual void End() = 0;
-  /// Closes the connection, so that what went out can't look complete.
+  /// Closes the connection, so that the partial response can't look complete.
   virtual void Abort() = 0;
   /// Returns whether the caller's connection is closed.
   virtual bool IsDisconnected() const = 0;
-  /// Returns how many bytes wait for the caller to read.
+  /// Returns how many bytes are queued because the caller hasn't read them.
   virtual std::size_t UnsentBytes() const = 0;
-  /// Sets what to call, once, when the caller closes before the response's
-  /// end. Not called after it.
+  /// Sets a callback that runs once if the caller closes the connection before
+  /// the end of the response; never after it.
   virtual void OnDisconnect(std::function<void()> callback) = 0;
 };
 
-/// Listens on one address and hands requests to a handler.
+/// Listens on one address and passes requests to a handler.
 /// Thread safety: only on the loop's thread.
 class Server {
  public:
   using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-  /// Listens on \p address ("IP:PORT"), or says why it cannot.
+  /// Listens on \p address ("IP:PORT"). Errors: that of the failed socket call.
   /// Precondition: \p loop outlives the server.
   static Result<std::unique_ptr<Server>> Listen(Loop& loop,
                                                 const std::string& address,
@@ -71,9 +71,9 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Takes new limits into force for the next request on each connection.
+  /// Applies \p limits from the next request on each connection.
   void SetLimits(const ServerLimits& limits);
-  /// From now on every response closes its connection.
+  /// Makes every later response close its connection.
   void CloseAfterResponses();
   /// Returns the port listened on.
   std::uint16_t Port() const;
--- a/lib/http/address.cc
+++ b/lib/http/address.cc
@@ -13,14 +13,15 @@
 using TcpOption =
     boost::asio::detail::socket_option::integer<IPPROTO_TCP, kName>;
 
-/// A peer without an acknowledgement for this long is taken as gone. Callers
-/// leave after two seconds of silence, so more would only hold work for them.
+/// A connection whose data stays unacknowledged for this long is closed.
+/// Callers disconnect after two seconds of inactivity; a longer timeout would
+/// only keep work running for callers that have disconnected.
 constexpr int kUserTimeoutMillis = 2500;
-/// An idle connection is first probed after this many seconds, then each
-/// second; two unanswered probes end it.
-constexpr int kIdleSeconds = 2;
-constexpr int kProbeSeconds = 1;
-constexpr int kProbes = 2;
+/// TCP keepalive: an idle connection is first probed after this many seconds,
+/// then each second; two unanswered probes close it.
+constexpr int kKeepaliveIdleSeconds = 2;
+constexpr int kKeepaliveProbeSeconds = 1;
+constexpr int kMaxKeepaliveProbes = 2;
 
 }  // namespace
 
@@ -33,21 +34,22 @@
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, port);
   if (error != std::errc() || end != last || port > 65535) return std::nullopt;
-  boost::system::error_code bad;
-  const auto ip = boost::asio::ip::make_address_v4(text.substr(0, colon), bad);
-  if (bad) return std::nullopt;
+  boost::system::error_code parse_error;
+  const auto ip =
+      boost::asio::ip::make_address_v4(text.substr(0, colon), parse_error);
+  if (parse_error) return std::nullopt;
   return boost::asio::ip::tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
 
-void KeepAlive(boost::asio::ip::tcp::socket& socket) {
-  // A socket that can't take an option still works; the deadlines above it
-  // then find the silence later.
+void EnableKeepAlive(boost::asio::ip::tcp::socket& socket) {
+  // A socket without these options still works; the timeouts of its users then
+  // detect an unresponsive peer later.
   boost::system::error_code ignored;
   socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
   socket.set_option(TcpOption<TCP_USER_TIMEOUT>(kUserTimeoutMillis), ignored);
-  socket.set_option(TcpOption<TCP_KEEPIDLE>(kIdleSeconds), ignored);
-  socket.set_option(TcpOption<TCP_KEEPINTVL>(kProbeSeconds), ignored);
-  socket.set_option(TcpOption<TCP_KEEPCNT>(kProbes), ignored);
+  socket.set_option(TcpOption<TCP_KEEPIDLE>(kKeepaliveIdleSeconds), ignored);
+  socket.set_option(TcpOption<TCP_KEEPINTVL>(kKeepaliveProbeSeconds), ignored);
+  socket.set_option(TcpOption<TCP_KEEPCNT>(kMaxKeepaliveProbes), ignored);
 }
 
 }  // namespace toucanwharf::http
--- a/lib/http/address.h
+++ b/lib/http/address.h
@@ -8,13 +8,13 @@
 
 namespace toucanwharf::http {
 
-/// Returns the endpoint that "IP:PORT" names, or nothing.
+/// Parses "IP:PORT" (IPv4); returns nothing if \p text is malformed.
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(
     const std::string& text);
 
-/// Makes the kernel notice a peer that fell silent: idle connections are
-/// probed, and unacknowledged bytes end the connection.
-void KeepAlive(boost::asio::ip::tcp::socket& socket);
+/// Makes the kernel close connections to unresponsive peers: it probes idle
+/// connections and limits how long bytes may stay unacknowledged.
+void EnableKeepAlive(boost::asio::ip::tcp::socket& socket);
 
 }  // namespace toucanwharf::http
 
--- a/lib/http/client.cc
+++ b/lib/http/client.cc
@@ -23,14 +23,14 @@
 using Code = boost::system::error_code;
 
 constexpr std::size_t kReadSize = 8UL * 1024;
-constexpr std::uint32_t kMaxResponseHeader = 64 * 1024;
-/// Idle time that every server allows, where it doesn't say.
-constexpr Duration kDefaultKeep = std::chrono::seconds(1);
-/// Taken off the idle time that a server announces: its clock began earlier,
-/// and a request that crosses its close would be lost.
-constexpr Duration kKeepMargin = std::chrono::seconds(1);
-/// Idle connections to one address; more than the callers of one instance use
-/// at once only hold descriptors.
+constexpr std::uint32_t kMaxResponseHeaderBytes = 64 * 1024;
+/// Assumed when a server doesn't announce an idle timeout.
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(1);
+/// Subtracted from the idle timeout that a server announces: the server's timer
+/// started earlier, and a request sent while it closes would be lost.
+constexpr Duration kIdleTimeoutMargin = std::chrono::seconds(1);
+/// Idle connections kept to one address. More than the callers of one instance
+/// use concurrently would only hold file descriptors.
 constexpr std::size_t kMaxIdlePerAddress = 32;
 
 std::string RequestText(const std::string& address, const Request& request) {
@@ -42,66 +42,67 @@
   for (const auto& [name, value] : request.headers) {
     absl::StrAppend(&text, name, ": ", value, "\r\n");
   }
-  const bool length = !request.body.empty() || request.method == "POST" ||
-                      request.method == "PUT" || request.method == "PATCH";
-  if (length) {
+  const bool has_length = !request.body.empty() || request.method == "POST" ||
+                          request.method == "PUT" || request.method == "PATCH";
+  if (has_length) {
     absl::StrAppend(&text, "Content-Length: ", request.body.size(), "\r\n");
   }
   text.append("\r\n").append(request.body);
   return text;
 }
 
-/// Returns the idle time that the Keep-Alive field \p value allows.
-Duration KeepTime(std::string_view value) {
+/// Returns how long a connection may stay idle, given the value of the
+/// response's Keep-Alive field.
+Duration IdleTimeout(std::string_view value) {
   constexpr std::string_view kName = "timeout=";
-  const std::size_t at = value.find(kName);
-  if (at == std::string_view::npos) return kDefaultKeep;
+  const std::size_t start = value.find(kName);
+  if (start == std::string_view::npos) return kDefaultIdleTimeout;
   int seconds = 0;
-  const char* first = value.data() + at + kName.size();
+  const char* first = value.data() + start + kName.size();
   std::from_chars(first, value.data() + value.size(), seconds);
-  return std::chrono::seconds(seconds) - kKeepMargin;
+  return std::chrono::seconds(seconds) - kIdleTimeoutMargin;
 }
 
 }  // namespace
 
-class Link;
+class ClientConnection;
 
 struct Client::State {
   explicit State(Loop& event_loop) : loop(event_loop) {}
 
   Loop& loop;
-  std::map<CallId, std::shared_ptr<Link>> calls;
-  std::map<std::string, std::vector<std::shared_ptr<Link>>> idle;
+  std::map<CallId, std::shared_ptr<ClientConnection>> calls;
+  std::map<std::string, std::vector<std::shared_ptr<ClientConnection>>> idle;
   CallId last_call = 0;
 };
 
 /// One connection to a peer, with at most one call on it.
-class Link : public std::enable_shared_from_this<Link> {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
-  Link(std::weak_ptr<Client::State> client_state, Loop& event_loop,
-       std::string peer_address)
+  ClientConnection(std::weak_ptr<Client::State> client_state, Loop& event_loop,
+                   std::string peer_address)
       : client(std::move(client_state)),
         loop(event_loop),
         address(std::move(peer_address)),
-        socket(event_loop.Inner().context) {}
-  ~Link() { this->loop.Cancel(this->timer); }
-  Link(const Link&) = delete;
-  Link& operator=(const Link&) = delete;
+        socket(event_loop.InternalState().context) {}
+  ~ClientConnection() { this->loop.Cancel(this->timer); }
+  ClientConnection(const ClientConnection&) = delete;
+  ClientConnection& operator=(const ClientConnection&) = delete;
 
   const std::string& Address() const { return this->address; }
   bool Open() const { return !this->closed; }
 
-  void Begin(CallId call, std::string text, CallHandlers call_handlers,
-             bool head_only, bool again) {
+  void PrepareCall(CallId call, std::string text, CallHandlers call_handlers,
+                   bool head_only, bool reused) {
     this->id = call;
     this->handlers = std::move(call_handlers);
     this->output = std::move(text);
     this->result = CallResult{};
-    this->result.reused = again;
-    this->sent_head = false;
+    this->result.reused = reused;
+    this->head_delivered = false;
     this->loop.Cancel(this->timer);
     this->parser.emplace();
-    this->parser->header_limit(kMaxResponseHeader);
+    this->parser->header_limit(kMaxResponseHeaderBytes);
     this->parser->body_limit(std::numeric_limits<std::uint64_t>::max());
     this->parser->eager(true);
     this->parser->skip(head_only);
@@ -122,13 +123,13 @@
   }
 
   /// Sends the request on an open connection.
-  void SendSoon() {
+  void PostRequest() {
     this->loop.Post([self = this->shared_from_this()] {
       if (!self->closed && self->id != 0) self->SendRequest();
     });
   }
 
-  void Drop() {
+  void Abandon() {
     this->id = 0;
     this->handlers = {};
     this->Close();
@@ -153,7 +154,7 @@
     Code ignored;
     this->socket.set_option(tcp::no_delay(true), ignored);
     this->socket.non_blocking(true, ignored);
-    KeepAlive(this->socket);
+    EnableKeepAlive(this->socket);
     this->SendRequest();
     this->Read();
   }
@@ -163,9 +164,9 @@
     boost::asio::async_write(this->socket, boost::asio::buffer(this->output),
                              [self = this->shared_from_this(), call = this->id](
                                  const Code& error, std::size_t) {
-                               // A server may answer before it has read all;
-                               // what it said is read first, and the end of the
-                               // connection tells the rest.
+                               // A server may respond before it has read
+                               // the whole request. The response is read first;
+                               // the read side reports a lost connection.
                                if (self->id != call) return;
                                if (error) self->write_failed = true;
                                self->output.clear();
@@ -186,13 +187,13 @@
   void OnRead(const Code& error, std::size_t size) {
     if (this->closed) return;
     if (this->id == 0) {
-      // Idle: a close, or bytes that belong to no request.
+      // Idle: the peer closed, or sent bytes that belong to no request.
       this->Close();
-      this->LeavePool();
+      this->RemoveFromPool();
       return;
     }
     if (error) {
-      this->OnEnd(error);
+      this->OnReadError(error);
       return;
     }
     this->input.append(this->buffer.data(), size);
@@ -200,12 +201,12 @@
     this->Read();
   }
 
-  void OnEnd(const Code& error) {
+  void OnReadError(const Code& error) {
     if (error == boost::asio::error::eof && this->parser->got_some()) {
-      Code why;
-      this->parser->put_eof(why);
-      if (!why && this->parser->is_done()) {
-        this->keep = false;
+      Code parse_error;
+      this->parser->put_eof(parse_error);
+      if (!parse_error && this->parser->is_done()) {
+        this->reusable = false;
         this->Finish(CallEnd::kComplete);
         return;
       }
@@ -217,44 +218,44 @@
     const auto self = this->shared_from_this();
     const CallId call = this->id;
     while (this->id == call && !this->input.empty()) {
-      // A head is announced before any of its body is handed on.
-      const bool announced = this->sent_head;
-      this->parser->eager(announced);
-      Code why;
-      const std::size_t before = this->input.size();
-      const bool good = this->parser->Feed(this->input, why);
+      // Deliver the head before any byte of the body.
+      const bool head_delivered_before = this->head_delivered;
+      this->parser->eager(head_delivered_before);
+      Code parse_error;
+      const std::size_t size_before = this->input.size();
+      const bool valid = this->parser->Feed(this->input, parse_error);
       if (this->id != call) return;
-      if (!good) {
+      if (!valid) {
         this->Finish(CallEnd::kMalformed);
         return;
       }
       if (!this->parser->is_header_done()) return;
-      if (!this->sent_head && !this->TakeHead()) return;
+      if (!this->head_delivered && !this->DeliverHead()) return;
       if (this->id != call) return;
       if (this->parser->is_done()) {
-        this->OnWhole();
+        this->OnComplete();
         return;
       }
-      // Part of a chunk's head needs the rest of it.
-      if (announced && this->input.size() == before) return;
+      // An incomplete chunk header: wait for more bytes.
+      if (head_delivered_before && this->input.size() == size_before) return;
     }
   }
 
-  /// Announces the head. Returns false when more must be read first.
-  bool TakeHead() {
+  /// Delivers the head. Returns false if more bytes must be read first.
+  bool DeliverHead() {
     const int status = this->parser->head.status;
     constexpr int kFirstFinal = 200;
     if (status < kFirstFinal) {
       // An interim response; the final one follows.
       std::string rest = std::move(this->input);
       this->input.clear();
-      this->Begin(this->id, std::move(this->output), std::move(this->handlers),
-                  false, this->result.reused);
+      this->PrepareCall(this->id, std::move(this->output),
+                        std::move(this->handlers), false, this->result.reused);
       this->result.sent = true;
       this->input = std::move(rest);
       return !this->input.empty();
     }
-    this->sent_head = true;
+    this->head_delivered = true;
     if (this->handlers.on_head) {
       const auto on_head = this->handlers.on_head;
       on_head(this->parser->head);
@@ -268,16 +269,16 @@
     on_data(bytes);
   }
 
-  void OnWhole() {
-    // Surplus bytes, or a request not yet sent whole, spoil the connection.
-    this->keep = this->parser->keep_alive() && this->input.empty() &&
-                 this->output.empty() && !this->write_failed;
+  void OnComplete() {
+    // Surplus bytes, or a request not yet fully sent, rule out reuse.
+    this->reusable = this->parser->keep_alive() && this->input.empty() &&
+                     this->output.empty() && !this->write_failed;
     this->Finish(CallEnd::kComplete);
   }
 
   void Finish(CallEnd end);
-  void LeavePool();
-  void Keep(Client::State& state);
+  void RemoveFromPool();
+  void ReturnToPool(Client::State& state);
 
   std::weak_ptr<Client::State> client;
   Loop& loop;
@@ -291,67 +292,70 @@
   std::string output;
   std::optional<MessageParser<false>> parser;
   TimerId timer = 0;
-  bool sent_head = false;
+  bool head_delivered = false;
   bool write_failed = false;
   bool reading = false;
-  bool keep = false;
+  bool reusable = false;
   bool closed = false;
 };
 
-void Link::Finish(CallEnd end) {
+void ClientConnection::Finish(CallEnd end) {
   if (this->id == 0) return;
   const auto self = this->shared_from_this();
   const auto state = this->client.lock();
   const CallId call = std::exchange(this->id, 0);
-  const CallHandlers ended = std::exchange(this->handlers, CallHandlers{});
+  const CallHandlers finished_handlers =
+      std::exchange(this->handlers, CallHandlers{});
   this->result.end = end;
   const CallResult final_result = this->result;
-  const bool keeps = end == CallEnd::kComplete && this->keep && state;
-  if (keeps) {
-    this->Keep(*state);
+  const bool reuse = end == CallEnd::kComplete && this->reusable && state;
+  if (reuse) {
+    this->ReturnToPool(*state);
   } else {
     this->Close();
   }
   if (!state) return;
   state->calls.erase(call);
-  if (ended.on_done) ended.on_done(final_result);
+  if (finished_handlers.on_done) finished_handlers.on_done(final_result);
 }
 
-void Link::Keep(Client::State& state) {
-  const Duration time = KeepTime(this->parser->head.headers.Get("Keep-Alive"));
+void ClientConnection::ReturnToPool(Client::State& state) {
+  const Duration idle_timeout =
+      IdleTimeout(this->parser->head.headers.Get("Keep-Alive"));
   auto& pool = state.idle[this->address];
-  if (time <= Duration(0) || pool.size() >= kMaxIdlePerAddress) {
+  if (idle_timeout <= Duration(0) || pool.size() >= kMaxIdlePerAddress) {
     this->Close();
     return;
   }
   pool.push_back(this->shared_from_this());
   const auto weak = this->weak_from_this();
   this->loop.Cancel(this->timer);
-  this->timer = this->loop.After(time, [weak] {
+  this->timer = this->loop.After(idle_timeout, [weak] {
     const auto self = weak.lock();
     if (!self || self->id != 0) return;
     self->Close();
-    self->LeavePool();
+    self->RemoveFromPool();
   });
   this->Read();
 }
 
-void Link::LeavePool() {
+void ClientConnection::RemoveFromPool() {
   const auto state = this->client.lock();
   if (!state) return;
   const auto found = state->idle.find(this->address);
   if (found == state->idle.end()) return;
-  std::erase_if(found->second,
-                [this](const auto& link) { return link.get() == this; });
+  std::erase_if(found->second, [this](const auto& connection) {
+    return connection.get() == this;
+  });
   if (found->second.empty()) state->idle.erase(found);
 }
 
 Client::Client(Loop& loop) : state(std::make_shared<State>(loop)) {}
 
 Client::~Client() {
-  for (const auto& [id, link] : this->state->calls) link->Drop();
+  for (const auto& [id, connection] : this->state->calls) connection->Abandon();
   for (const auto& [address, pool] : this->state->idle) {
-    for (const auto& link : pool) link->Close();
+    for (const auto& connection : pool) connection->Close();
   }
 }
 
@@ -363,30 +367,33 @@
   std::string text = RequestText(address, request);
   const auto pool = inner.idle.find(address);
   if (options.reuse == Reuse::kAllowed && pool != inner.idle.end()) {
-    const auto link = pool->second.back();
+    const auto connection = pool->second.back();
     pool->second.pop_back();
     if (pool->second.empty()) inner.idle.erase(pool);
-    inner.calls.emplace(id, link);
-    link->Begin(id, std::move(text), std::move(handlers), head_only, true);
-    link->SendSoon();
+    inner.calls.emplace(id, connection);
+    connection->PrepareCall(id, std::move(text), std::move(handlers), head_only,
+                            true);
+    connection->PostRequest();
     return id;
   }
-  const auto link = std::make_shared<Link>(this->state, inner.loop, address);
-  inner.calls.emplace(id, link);
-  link->Begin(id, std::move(text), std::move(handlers), head_only, false);
+  const auto connection =
+      std::make_shared<ClientConnection>(this->state, inner.loop, address);
+  inner.calls.emplace(id, connection);
+  connection->PrepareCall(id, std::move(text), std::move(handlers), head_only,
+                          false);
   const auto peer = ParseAddress(address);
-  // An address that can't be read fails like one that can't be reached.
-  link->Connect(peer.value_or(tcp::endpoint()),
-                peer ? options.connect_timeout : Duration(0));
+  // A malformed address fails like an unreachable one.
+  connection->Connect(peer.value_or(tcp::endpoint()),
+                      peer ? options.connect_timeout : Duration(0));
   return id;
 }
 
 void Client::Cancel(CallId id) {
   const auto found = this->state->calls.find(id);
   if (found == this->state->calls.end()) return;
-  const auto link = found->second;
+  const auto connection = found->second;
   this->state->calls.erase(found);
-  link->Drop();
+  connection->Abandon();
 }
 
 namespace {
@@ -394,28 +401,28 @@
 using FetchDone = std::function<void(const CallResult&, const ResponseHead&,
                                      const std::string&)>;
 
-/// A call that collects the body, until it has ended.
-class Gathering : public std::enable_shared_from_this<Gathering> {
+/// A call in flight that collects the body.
+class FetchOperation : public std::enable_shared_from_this<FetchOperation> {
  public:
-  Gathering(Loop& event_loop, Client& http_client, const FetchLimits& chosen,
-            FetchDone on_done)
+  FetchOperation(Loop& event_loop, Client& http_client,
+                 const FetchLimits& fetch_limits, FetchDone on_done)
       : loop(event_loop),
         client(http_client),
-        limits(chosen),
+        limits(fetch_limits),
         done(std::move(on_done)),
-        begun(event_loop.Now()),
-        last_byte(event_loop.Now()) {}
+        started_at(event_loop.Now()),
+        last_byte_at(event_loop.Now()) {}
 
   void Start(const std::string& address, const Request& request,
              const CallOptions& options) {
     const auto self = this->shared_from_this();
     CallHandlers handlers;
-    handlers.on_head = [self](const ResponseHead& got) {
-      self->last_byte = self->loop.Now();
-      self->head = got;
+    handlers.on_head = [self](const ResponseHead& received_head) {
+      self->last_byte_at = self->loop.Now();
+      self->head = received_head;
     };
     handlers.on_data = [self](std::string_view bytes) {
-      self->last_byte = self->loop.Now();
+      self->last_byte_at = self->loop.Now();
       self->body.append(bytes);
     };
     handlers.on_done = [self](const CallResult& result) {
@@ -428,19 +435,19 @@
   }
 
  private:
-  TimePoint GivenUpAt() const {
-    return std::min(this->begun + this->limits.whole,
-                    this->last_byte + this->limits.silence);
+  TimePoint Deadline() const {
+    return std::min(this->started_at + this->limits.total,
+                    this->last_byte_at + this->limits.inactivity);
   }
 
   void Wait() {
-    this->timer =
-        this->loop.After(this->GivenUpAt() - this->loop.Now(),
-                         [self = this->shared_from_this()] { self->Look(); });
+    this->timer = this->loop.After(
+        this->Deadline() - this->loop.Now(),
+        [self = this->shared_from_this()] { self->CheckDeadline(); });
   }
 
-  void Look() {
-    if (this->loop.Now() < this->GivenUpAt()) {
+  void CheckDeadline() {
+    if (this->loop.Now() < this->Deadline()) {
       this->Wait();
       return;
     }
@@ -454,8 +461,8 @@
   Client& client;
   FetchLimits limits;
   FetchDone done;
-  TimePoint begun;
-  TimePoint last_byte;
+  TimePoint started_at;
+  TimePoint last_byte_at;
   ResponseHead head;
   std::string body;
   CallId call = 0;
@@ -467,7 +474,7 @@
 void Fetch(Loop& loop, Client& client, const std::string& address,
            const Request& request, const FetchLimits& limits, FetchDone done,
            const CallOptions& options) {
-  std::make_shared<Gathering>(loop, client, limits, std::move(done))
+  std::make_shared<FetchOperation>(loop, client, limits, std::move(done))
       ->Start(address, request, options);
 }
 
--- a/lib/http/datagram.cc
+++ b/lib/http/datagram.cc
@@ -27,7 +27,8 @@
 
 struct DatagramSocket::State {
   State(Loop& loop, Handler datagram_handler)
-      : socket(loop.Inner().context), handler(std::move(datagram_handler)) {}
+      : socket(loop.InternalState().context),
+        handler(std::move(datagram_handler)) {}
 
   udp::socket socket;
   Handler handler;
@@ -42,7 +43,7 @@
       boost::asio::buffer(state->buffer), state->sender,
       [state](const Code& error, std::size_t size) {
         if (error == boost::asio::error::operation_aborted) return;
-        // Any other error speaks of one datagram only.
+        // Any other error concerns one datagram only.
         if (!error) {
           state->handler(absl::StrCat(state->sender.address().to_string(), ":",
                                       state->sender.port()),
--- a/lib/http/loop.cc
+++ b/lib/http/loop.cc
@@ -9,12 +9,12 @@
 namespace toucanwharf::http {
 namespace {
 
-/// Timers within this much of each other run in one wake-up. Every limit that
-/// a timer guards is a hundred times as long.
-constexpr Duration kTogether = std::chrono::milliseconds(1);
-/// The steady clock stands still while the machine is suspended and the boot
-/// clock does not, so the alarm looks again at least this often.
-constexpr Duration kLongestSleep = std::chrono::seconds(1);
+/// Timers due within this time of each other run in one wake-up. Every timeout
+/// that a timer implements is at least a hundred times as long.
+constexpr Duration kTimerSlack = std::chrono::milliseconds(1);
+/// The steady clock of the alarm stops while the machine is suspended and the
+/// boot clock doesn't, so the alarm fires at least this often.
+constexpr Duration kMaxSleep = std::chrono::seconds(1);
 
 void AwaitSignal(boost::asio::signal_set& set, const Loop::Task& task) {
   set.async_wait([&set, task](const boost::system::error_code& error, int) {
@@ -40,7 +40,7 @@
   const TimePoint due = this->Now() + std::max(delay, Duration(0));
   inner.timers.emplace(std::pair(due, id), std::move(task));
   inner.due_times.emplace(id, due);
-  this->Arm();
+  this->ArmAlarm();
   return id;
 }
 
@@ -59,26 +59,25 @@
   inner.due_times.erase(found);
 }
 
-void Loop::Arm() {
+void Loop::ArmAlarm() {
   State& inner = *this->state;
   if (inner.timers.empty()) return;
   const TimePoint first = inner.timers.begin()->first.first;
   if (first >= inner.armed_for) return;
-  const Duration wait =
-      std::clamp(first - this->Now(), Duration(0), kLongestSleep);
+  const Duration wait = std::clamp(first - this->Now(), Duration(0), kMaxSleep);
   inner.armed_for = first;
   inner.alarm.expires_after(wait);
   inner.alarm.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
     this->state->armed_for = TimePoint{Duration::max()};
-    this->RunDue();
-    this->Arm();
+    this->RunDueTimers();
+    this->ArmAlarm();
   });
 }
 
-void Loop::RunDue() {
+void Loop::RunDueTimers() {
   State& inner = *this->state;
-  const TimePoint now = this->Now() + kTogether;
+  const TimePoint now = this->Now() + kTimerSlack;
   while (!inner.timers.empty()) {
     const auto first = inner.timers.begin();
     if (first->first.first > now) return;
--- a/lib/http/loop_state.h
+++ b/lib/http/loop_state.h
@@ -12,15 +12,15 @@
 
 namespace toucanwharf::http {
 
-/// What a loop holds, for the other files of this library.
+/// State of a loop, shared with the other files of this library.
 struct Loop::State {
-  /// One thread only: Asio then leaves its locks out.
+  /// A concurrency hint of 1 makes Asio omit its locks.
   boost::asio::io_context context{1};
   boost::asio::steady_timer alarm{context};
   std::map<std::pair<TimePoint, TimerId>, Task> timers;
   std::map<TimerId, TimePoint> due_times;
   TimerId last_timer = 0;
-  /// When the alarm is set to ring; far away for not set.
+  /// When the alarm fires; Duration::max() while it isn't armed.
   TimePoint armed_for{Duration::max()};
   std::list<boost::asio::signal_set> signals;
 };
--- a/lib/http/message.cc
+++ b/lib/http/message.cc
@@ -11,8 +11,8 @@
 namespace toucanwharf::http {
 namespace {
 
-/// Fields that speak of one connection (RFC 9110, 7.6.1), and the length.
-constexpr std::array<std::string_view, 9> kOneConnection = {
+/// Hop-by-hop fields (RFC 9110, 7.6.1), and Content-Length.
+constexpr std::array<std::string_view, 9> kHopByHopFields = {
     "Connection", "Keep-Alive",        "Proxy-Connection", "TE",    "Trailer",
     "Upgrade",    "Transfer-Encoding", "Content-Length",   "Expect"};
 
@@ -21,12 +21,12 @@
 }
 
 bool Contains(const std::vector<std::string>& names, std::string_view name) {
-  return std::any_of(names.begin(), names.end(), [&](const auto& one) {
-    return EqualIgnoringCase(one, name);
+  return std::any_of(names.begin(), names.end(), [&](const auto& listed) {
+    return EqualIgnoringCase(listed, name);
   });
 }
 
-std::vector<std::string> NamedByConnection(const Headers& headers) {
+std::vector<std::string> ConnectionOptions(const Headers& headers) {
   std::vector<std::string> names;
   for (const auto& [name, value] : headers) {
     if (!EqualIgnoringCase(name, "Connection")) continue;
@@ -40,18 +40,18 @@
 std::string PercentDecoded(std::string_view text) {
   constexpr int kHex = 16;
   std::string decoded;
-  for (std::size_t at = 0; at < text.size(); ++at) {
+  for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned value = 0;
-    if (text[at] == '%' && at + 2 < text.size()) {
-      const char* first = text.data() + at + 1;
+    if (text[i] == '%' && i + 2 < text.size()) {
+      const char* first = text.data() + i + 1;
       const auto [end, error] = std::from_chars(first, first + 2, value, kHex);
       if (error == std::errc() && end == first + 2) {
         decoded.push_back(static_cast<char>(value));
-        at += 2;
+        i += 2;
         continue;
       }
     }
-    decoded.push_back(text[at] == '+' ? ' ' : text[at]);
+    decoded.push_back(text[i] == '+' ? ' ' : text[i]);
   }
   return decoded;
 }
@@ -81,16 +81,17 @@
 }
 
 Headers EndToEnd(const Headers& headers) {
-  const auto named = NamedByConnection(headers);
-  Headers kept;
+  const auto named = ConnectionOptions(headers);
+  Headers end_to_end;
   for (const auto& [name, value] : headers) {
     const std::string_view field = name;
-    const bool hop = std::any_of(
-        kOneConnection.begin(), kOneConnection.end(),
-        [&](std::string_view one) { return EqualIgnoringCase(one, field); });
-    if (!hop && !Contains(named, field)) kept.Add(name, value);
+    const bool hop = std::any_of(kHopByHopFields.begin(), kHopByHopFields.end(),
+                                 [&](std::string_view known) {
+                                   return EqualIgnoringCase(known, field);
+                                 });
+    if (!hop && !Contains(named, field)) end_to_end.Add(name, value);
   }
-  return kept;
+  return end_to_end;
 }
 
 std::string_view PathOf(std::string_view target) {
--- a/lib/http/parser.h
+++ b/lib/http/parser.h
@@ -12,8 +12,8 @@
 
 namespace toucanwharf::http {
 
-/// Beast's parser that keeps fields as they came and hands on body bytes
-/// without a copy.
+/// Beast parser that keeps header fields as received and passes body bytes to
+/// `on_body` without a copy.
 template <bool kIsRequest>
 class MessageParser : public boost::beast::http::basic_parser<kIsRequest> {
  public:
@@ -25,24 +25,25 @@
   ResponseHead head;
   std::function<void(std::string_view)> on_body;
 
-  /// Parses the front of \p bytes and drops what it took. Returns false for
-  /// bytes that are no message; \p why then says more.
-  bool Feed(std::string& bytes, Code& why) {
-    std::size_t taken = 0;
-    while (taken < bytes.size() && !this->is_done()) {
-      // A parser that isn't eager stops where the body begins.
+  /// Parses the front of \p bytes and removes what it consumed. Returns false
+  /// for a malformed message and sets \p error.
+  bool Feed(std::string& bytes, Code& error) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && !this->is_done()) {
+      // A parser that isn't eager stops at the start of the body.
       if (!this->eager() && this->is_header_done()) break;
       const std::size_t step = this->put(
-          boost::asio::buffer(bytes.data() + taken, bytes.size() - taken), why);
-      taken += step;
-      if (why == boost::beast::http::error::need_more) {
-        why = {};
+          boost::asio::buffer(bytes.data() + consumed, bytes.size() - consumed),
+          error);
+      consumed += step;
+      if (error == boost::beast::http::error::need_more) {
+        error = {};
         break;
       }
-      if (why) return false;
+      if (error) return false;
       if (step == 0) break;
     }
-    bytes.erase(0, taken);
+    bytes.erase(0, consumed);
     return true;
   }
 
--- a/lib/http/server.cc
+++ b/lib/http/server.cc
@@ -21,23 +21,23 @@
 namespace beast_http = boost::beast::http;
 
 constexpr std::size_t kReadSize = 8UL * 1024;
-/// Bytes of later requests that are read while one is answered; a caller that
-/// sends more waits in its own socket.
+/// Bytes of pipelined requests that are read while one is being answered; the
+/// rest stays in the socket's buffers.
 constexpr std::size_t kMaxReadAhead = 64UL * 1024;
-/// After a response that closes, bytes that still come are read and dropped
-/// for this long: a close with unread bytes resets the connection, and the
-/// caller would lose the response.
-constexpr Duration kLinger = std::chrono::seconds(1);
-/// A body that was begun must be there after this long.
+/// After a response that closes the connection, further bytes are read and
+/// discarded for this long: closing with unread bytes resets the connection,
+/// and the caller would lose the response.
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
+/// A body must be complete this long after the head.
 constexpr Duration kBodyTimeout = std::chrono::seconds(10);
-/// Connections that may wait to be accepted.
+/// Pending connections that the kernel queues.
 constexpr int kBacklog = 1024;
 
 std::string ReasonOf(const ResponseHead& head) {
   if (!head.reason.empty()) return head.reason;
-  const auto usual =
+  const auto default_reason =
       beast_http::obsolete_reason(static_cast<beast_http::status>(head.status));
-  return {usual.data(), usual.size()};
+  return {default_reason.data(), default_reason.size()};
 }
 
 std::string HeadText(const ResponseHead& head, bool chunked,
@@ -64,7 +64,7 @@
   return text;
 }
 
-/// What to answer to bytes that are no acceptable request.
+/// Returns the status of the response to an unacceptable request.
 int StatusOf(const Code& why) {
   if (why == beast_http::error::header_limit) return kHeaderTooLarge;
   if (why == beast_http::error::body_limit) return kContentTooLarge;
@@ -95,8 +95,8 @@
   std::map<const Connection*, std::weak_ptr<Connection>> connections;
 };
 
-/// One caller's connection: reads one request at a time, and watches for the
-/// caller's close while it is answered.
+/// One caller's connection: reads one request at a time, and detects that the
+/// caller closes it while the request is being answered.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Server::State> server_state, tcp::socket accepted)
@@ -110,7 +110,7 @@
 
   void Start() {
     this->server->connections.emplace(this, this->weak_from_this());
-    this->NextRequest();
+    this->PrepareNextRequest();
     this->Read();
   }
 
@@ -120,7 +120,7 @@
     this->server->loop.Cancel(this->timer);
     Code ignored;
     this->socket.close(ignored);
-    this->NoteGone();
+    this->NotifyDisconnect();
   }
 
   void Respond(const ResponseHead& head, std::string_view body) {
@@ -128,15 +128,16 @@
     std::string text = HeadText(
         head, false,
         bodyless ? std::nullopt : std::optional<std::uint64_t>(body.size()),
-        this->Closes(head), this->server->limits.idle_timeout);
+        this->NeedsCloseHeader(head), this->server->limits.idle_timeout);
     if (!this->head_only) text.append(body);
     this->Send(text);
-    this->Answered();
+    this->OnResponseEnd();
   }
 
   void Begin(const ResponseHead& head) {
     this->chunked = !head.length.has_value();
-    this->Send(HeadText(head, this->chunked, head.length, this->Closes(head),
+    this->Send(HeadText(head, this->chunked, head.length,
+                        this->NeedsCloseHeader(head),
                         this->server->limits.idle_timeout));
   }
 
@@ -154,28 +155,28 @@
 
   void End() {
     if (this->chunked && !this->head_only) this->Send("0\r\n\r\n");
-    this->Answered();
+    this->OnResponseEnd();
   }
 
   bool Closed() const { return this->closed; }
   std::size_t UnsentBytes() const { return this->unsent.size(); }
-  void SetOnGone(std::function<void()> callback) {
-    this->on_gone = std::move(callback);
+  void SetOnDisconnect(std::function<void()> callback) {
+    this->on_disconnect = std::move(callback);
   }
 
  private:
-  class Answer;
+  class ConnectionExchange;
 
-  bool Closes(const ResponseHead& head) {
-    const bool asked =
+  bool NeedsCloseHeader(const ResponseHead& head) {
+    const bool close_requested =
         EqualIgnoringCase(head.headers.Get("Connection"), "close");
-    this->close_after = this->close_after || asked ||
+    this->close_after = this->close_after || close_requested ||
                         this->server->close_after_responses ||
                         !this->keep_alive;
-    return this->close_after && !asked;
+    return this->close_after && !close_requested;
   }
 
-  void NextRequest() {
+  void PrepareNextRequest() {
     this->parser.emplace();
     this->body.clear();
     const ServerLimits& limits = this->server->limits;
@@ -185,15 +186,15 @@
     this->parser->on_body = [this](std::string_view bytes) {
       this->body.append(bytes);
     };
-    this->continued = false;
+    this->head_received = false;
     this->SetTimer(limits.idle_timeout, [this] { this->Close(); });
   }
 
-  void SetTimer(Duration delay, const std::function<void()>& act) {
+  void SetTimer(Duration delay, const std::function<void()>& action) {
     this->server->loop.Cancel(this->timer);
     const auto weak = this->weak_from_this();
-    this->timer = this->server->loop.After(delay, [weak, act] {
-      if (const auto self = weak.lock()) act();
+    this->timer = this->server->loop.After(delay, [weak, action] {
+      if (const auto self = weak.lock()) action();
     });
   }
 
@@ -222,23 +223,23 @@
 
   void Parse() {
     if (this->input.empty()) return;
-    const bool begun = this->parser->got_some();
+    const bool request_started = this->parser->got_some();
     Code why;
     if (!this->parser->Feed(this->input, why)) {
-      this->Refuse(StatusOf(why));
+      this->Reject(StatusOf(why));
       return;
     }
     if (this->parser->is_done()) {
-      this->Hand();
+      this->Dispatch();
       return;
     }
-    if (!begun) {
+    if (!request_started) {
       this->SetTimer(this->server->limits.header_timeout,
-                     [this] { this->Refuse(kRequestTimeout); });
+                     [this] { this->Reject(kRequestTimeout); });
     }
-    if (this->parser->is_header_done() && !this->continued) {
-      this->continued = true;
-      this->SetTimer(kBodyTimeout, [this] { this->Refuse(kRequestTimeout); });
+    if (this->parser->is_header_done() && !this->head_received) {
+      this->head_received = true;
+      this->SetTimer(kBodyTimeout, [this] { this->Reject(kRequestTimeout); });
       const auto expect = this->parser->request.headers.Get("Expect");
       if (EqualIgnoringCase(expect, "100-continue")) {
         this->Send("HTTP/1.1 100 Continue\r\n\r\n");
@@ -246,7 +247,7 @@
     }
   }
 
-  void Refuse(int status) {
+  void Reject(int status) {
     this->keep_alive = false;
     this->answering = true;
     ResponseHead head;
@@ -254,17 +255,17 @@
     this->Respond(head, "");
   }
 
-  void Hand();
+  void Dispatch();
 
-  void Answered() {
+  void OnResponseEnd() {
     this->answering = false;
-    this->on_gone = nullptr;
+    this->on_disconnect = nullptr;
     if (this->close_after) {
       this->Linger();
       return;
     }
-    this->NextRequest();
-    // Not from inside the handler: it may still use the exchange.
+    this->PrepareNextRequest();
+    // Posted, because the handler that is still running may use the exchange.
     this->server->loop.Post([weak = this->weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed || self->answering) return;
@@ -280,11 +281,11 @@
       Code ignored;
       this->socket.shutdown(tcp::socket::shutdown_send, ignored);
     }
-    this->SetTimer(kLinger, [this] { this->Close(); });
+    this->SetTimer(kLingerTimeout, [this] { this->Close(); });
     this->Read();
   }
 
-  /// Sends at once what the socket takes, and the rest as it drains.
+  /// Writes what the socket accepts now, and the rest when it is writable.
   void Send(std::string_view bytes) {
     if (this->closed) return;
     if (this->unsent.empty()) {
@@ -332,16 +333,16 @@
     }
   }
 
-  /// A failed send is found inside the handler's own call; the close waits
-  /// until that call has returned.
+  /// A send fails inside a call of the handler, so the close is deferred until
+  /// that call has returned.
   void CloseSoon() {
     this->server->loop.Post(
         [self = this->shared_from_this()] { self->Close(); });
   }
 
-  void NoteGone() {
-    if (!this->on_gone) return;
-    const auto callback = std::exchange(this->on_gone, nullptr);
+  void NotifyDisconnect() {
+    if (!this->on_disconnect) return;
+    const auto callback = std::exchange(this->on_disconnect, nullptr);
     callback();
   }
 
@@ -353,31 +354,34 @@
   std::optional<MessageParser<true>> parser;
   std::string body;
   TimerId timer = 0;
-  std::function<void()> on_gone;
+  std::function<void()> on_disconnect;
   bool reading = false;
   bool writing = false;
   bool answering = false;
   bool lingering = false;
   bool closed = false;
-  bool continued = false;
+  bool head_received = false;
   bool keep_alive = true;
   bool close_after = false;
   bool chunked = false;
   bool head_only = false;
 };
 
-/// The exchange of one request. It keeps its connection alive; once answered
-/// it no longer touches it.
-class Connection::Answer : public Exchange {
+/// The exchange of one request. It keeps its connection alive, and no longer
+/// uses it after the response has ended.
+class Connection::ConnectionExchange : public Exchange {
  public:
-  Answer(std::shared_ptr<Connection> of, Request received)
-      : connection(std::move(of)), request(std::move(received)) {}
-  /// A handler that forgets a request must not leave its caller waiting.
-  ~Answer() override {
+  ConnectionExchange(std::shared_ptr<Connection> caller_connection,
+                     Request received)
+      : connection(std::move(caller_connection)),
+        request(std::move(received)) {}
+  /// NeedsCloseHeader the connection if the handler drops a request without a
+  /// response, so that the caller doesn't wait.
+  ~ConnectionExchange() override {
     if (!this->done) this->connection->Close();
   }
-  Answer(const Answer&) = delete;
-  Answer& operator=(const Answer&) = delete;
+  ConnectionExchange(const ConnectionExchange&) = delete;
+  ConnectionExchange& operator=(const ConnectionExchange&) = delete;
 
   const Request& Received() const override { return this->request; }
   void Respond(const ResponseHead& head, std::string_view body) override {
@@ -396,13 +400,15 @@
   }
   void Abort() override {
     if (std::exchange(this->done, true)) return;
-    this->connection->SetOnGone(nullptr);
+    this->connection->SetOnDisconnect(nullptr);
     this->connection->Close();
   }
   bool IsDisconnected() const override { return this->connection->Closed(); }
-  std::size_t UnsentBytes() const override { return this->connection->UnsentBytes(); }
+  std::size_t UnsentBytes() const override {
+    return this->connection->UnsentBytes();
+  }
   void OnDisconnect(std::function<void()> callback) override {
-    if (!this->done) this->connection->SetOnGone(std::move(callback));
+    if (!this->done) this->connection->SetOnDisconnect(std::move(callback));
   }
 
  private:
@@ -411,15 +417,15 @@
   bool done = false;
 };
 
-void Connection::Hand() {
+void Connection::Dispatch() {
   this->server->loop.Cancel(this->timer);
   this->answering = true;
   this->keep_alive = this->parser->keep_alive();
   this->head_only = this->parser->request.method == "HEAD";
   Request request = std::move(this->parser->request);
   request.body = std::move(this->body);
-  this->server->handler(
-      std::make_shared<Answer>(this->shared_from_this(), std::move(request)));
+  this->server->handler(std::make_shared<ConnectionExchange>(
+      this->shared_from_this(), std::move(request)));
 }
 
 namespace {
@@ -428,17 +434,17 @@
   state->acceptor.async_accept([state](const Code& error, tcp::socket socket) {
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {
-      // Out of descriptors: accepting again at once would spin.
-      constexpr Duration kPause = std::chrono::milliseconds(50);
+      // Out of file descriptors: accepting again immediately would spin.
+      constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
       std::fprintf(stderr, "accept failed: %s; raise the limit of open files\n",
                    error.message().c_str());
-      state->loop.After(kPause, [state] { Accept(state); });
+      state->loop.After(kAcceptRetryDelay, [state] { Accept(state); });
       return;
     }
     Code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    KeepAlive(socket);
+    EnableKeepAlive(socket);
     std::make_shared<Connection>(state, std::move(socket))->Start();
     Accept(state);
   });
@@ -451,7 +457,7 @@
                                                Handler handler) {
   const auto endpoint = ParseAddress(address);
   if (!endpoint) return std::make_error_code(std::errc::invalid_argument);
-  tcp::acceptor acceptor(loop.Inner().context);
+  tcp::acceptor acceptor(loop.InternalState().context);
   Code error;
   acceptor.open(endpoint->protocol(), error);
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
--- a/unittests/http/http_test.cc
+++ b/unittests/http/http_test.cc
@@ -21,7 +21,7 @@
 
 using std::chrono::milliseconds;
 
-/// A blocking socket, to send and read any bytes.
+/// A blocking socket that sends and reads raw bytes.
 class RawSocket {
  public:
   explicit RawSocket(std::uint16_t port)
@@ -107,7 +107,7 @@
   std::thread thread;
 };
 
-/// Answers with what it was asked, so that tests see what the server read.
+/// Echoes the request, so that tests see what the server parsed.
 void Echo(const std::shared_ptr<Exchange>& exchange) {
   const Request& request = exchange->Received();
   ResponseHead head;
@@ -119,7 +119,7 @@
   exchange->Respond(head, body + request.body);
 }
 
-/// What a client call gave.
+/// Outcome of a client call.
 struct Fetched {
   CallResult result;
   ResponseHead head;
@@ -127,7 +127,7 @@
   bool body_before_head = false;
 };
 
-/// Calls \p address on a client of its own and waits for the end.
+/// Calls \p address with a new client and waits for the outcome.
 Fetched Call(const std::string& address, const Request& request,
              int calls = 1) {
   Loop loop;
@@ -157,7 +157,7 @@
   return last;
 }
 
-/// A peer that answers each connection with fixed bytes, then closes.
+/// A peer that sends fixed bytes on each connection, then closes it.
 class ScriptedPeer {
  public:
   explicit ScriptedPeer(std::vector<std::string> pieces, bool reset = false)
@@ -210,8 +210,8 @@
 
 const std::string kGet = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
 
-// The endpoint must get the caller's bytes: a decoded path would name another
-// resource, and a folded header would lose a value.
+// Endpoints must receive the caller's target and headers unchanged: a decoded
+// path could name another resource, and a merged header would lose a value.
 BOOST_AUTO_TEST_CASE(TargetAndRepeatedHeadersArriveAsSent) {
   ServerThread server(Echo);
   RawSocket caller(server.Port());
@@ -234,8 +234,9 @@
   BOOST_TEST(caller.ReadUntil("").ends_with("abc"));
 }
 
-// Two lengths, or one that is none: what one reader takes for the body another
-// takes for the next request, which nobody sent.
+// Guards against request smuggling: with two lengths or an invalid one, two
+// parsers disagree where the body ends, and one of them reads the rest as a
+// request that nobody sent.
 BOOST_AUTO_TEST_CASE(AmbiguousLengthsAreRefused) {
   const std::vector<std::string> lengths = {
       "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -285,7 +286,7 @@
   BOOST_TEST(answers.find("GET /2") < answers.find("GET /a"));
 }
 
-// An answer that breaks off must not look complete to its caller.
+// An aborted response must not look complete to its caller.
 BOOST_AUTO_TEST_CASE(AbortedBodyHasNoEnd) {
   ServerThread server([](const std::shared_ptr<Exchange>& exchange) {
     ResponseHead head;
@@ -301,13 +302,13 @@
   BOOST_TEST(answer.find("\r\n0\r\n") == std::string::npos);
 }
 
-// A caller leaves while its request is worked on: whoever works must learn it
-// at once, or endpoints go on for nobody.
-BOOST_AUTO_TEST_CASE(CallersCloseIsNoticedAtOnce) {
-  std::promise<void> gone;
+// A caller disconnects while its request is in progress. The handler must be
+// notified immediately, or endpoints keep working on an answer nobody reads.
+BOOST_AUTO_TEST_CASE(DisconnectIsReportedImmediately) {
+  std::promise<void> disconnected;
   std::vector<std::shared_ptr<Exchange>> held;
   ServerThread server([&](std::shared_ptr<Exchange> exchange) {
-    exchange->OnDisconnect([&] { gone.set_value(); });
+    exchange->OnDisconnect([&] { disconnected.set_value(); });
     held.push_back(std::move(exchange));
   });
   {
@@ -315,13 +316,13 @@
     caller.Send(kGet);
     std::this_thread::sleep_for(milliseconds(50));
   }
-  BOOST_CHECK(gone.get_future().wait_for(milliseconds(400)) ==
+  BOOST_CHECK(disconnected.get_future().wait_for(milliseconds(400)) ==
               std::future_status::ready);
   server.On([&] { held.clear(); });
 }
 
-// A handler loses a request. Its caller must not wait for ever.
-BOOST_AUTO_TEST_CASE(ForgottenRequestIsClosed) {
+// A handler drops a request without a response. Its caller must not wait.
+BOOST_AUTO_TEST_CASE(DroppedRequestClosesConnection) {
   ServerThread server([](const std::shared_ptr<Exchange>&) {});
   RawSocket caller(server.Port());
   caller.Send(kGet);
@@ -337,8 +338,9 @@
              std::string::npos);
 }
 
-// The first bytes of a body came in one piece with the head. They were handed
-// on before the head, so that the first event of each stream was lost.
+// Guards against the loss of the first event of a stream: when the first bytes
+// of a body arrive in one read with the head, the body must not be delivered
+// before the head.
 BOOST_AUTO_TEST_CASE(HeadComesBeforeBody) {
   ScriptedPeer peer(
       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -350,9 +352,9 @@
   BOOST_TEST(fetched.body == "firstsecond");
 }
 
-// A piece ends in the middle of a chunk's head. The client went round and round
-// over the same bytes and the process served nobody.
-BOOST_AUTO_TEST_CASE(CutChunkHeadIsReadOn) {
+// Guards against a busy loop that blocks the whole process: a read ends in the
+// middle of a chunk header, and the client parses the same bytes again forever.
+BOOST_AUTO_TEST_CASE(PartialChunkHeaderWaitsForMore) {
   ScriptedPeer peer({"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1",
                      "0", "\r\n0123456789abcdef", "\r", "\n0\r\n\r\n"});
   const Fetched fetched = Call(peer.Address(), {});
@@ -388,9 +390,10 @@
   BOOST_CHECK(Call("no address", {}).result.end == CallEnd::kNotConnected);
 }
 
-// A peer sends another answer right behind a whole one. The next request on
-// that connection would get it as its own (I2), so the connection is dropped.
-BOOST_AUTO_TEST_CASE(SurplusBytesSpoilTheConnection) {
+// A peer sends a second response right after a complete one. The next request
+// on that connection would receive it as its own (I2), so the connection must
+// not be reused.
+BOOST_AUTO_TEST_CASE(SurplusBytesPreventReuse) {
   ScriptedPeer peer(
       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"});
@@ -406,7 +409,7 @@
   BOOST_TEST(second.result.reused);
 }
 
-BOOST_AUTO_TEST_CASE(HopByHopFieldsStayBehind) {
+BOOST_AUTO_TEST_CASE(HopByHopFieldsAreRemoved) {
   Headers headers;
   headers.Add("X-Kept", "1");
   headers.Add("connection", "close, X-Named");
@@ -427,7 +430,8 @@
   BOOST_TEST(PathOf("/p/q?x") == "/p/q");
 }
 
-// A stream may be cut anywhere, also between the two line ends of an event.
+// Reads may split a stream anywhere, also between the two line ends that end
+// an event.
 BOOST_AUTO_TEST_CASE(EventsComeOutWhole) {
   const std::string text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -448,14 +452,14 @@
   BOOST_TEST(!splitter.HasPartialEvent());
 }
 
-/// Writes a byte of the body each 50 ms, twelve of them.
+/// Writes twelve bytes of the body, one each 50 ms.
 void AnswerSlowly(Loop& loop, const std::shared_ptr<Exchange>& exchange) {
   constexpr int kBytes = 12;
   ResponseHead head;
   head.status = kOk;
   exchange->Begin(head);
-  for (int at = 1; at <= kBytes; ++at) {
-    loop.After(milliseconds(50) * at, [exchange, last = at == kBytes] {
+  for (int count = 1; count <= kBytes; ++count) {
+    loop.After(milliseconds(50) * count, [exchange, last = count == kBytes] {
       exchange->Write("b");
       if (last) exchange->End();
     });
@@ -478,9 +482,9 @@
   return done.get_future().get();
 }
 
-// Guards against large answers over a crowded link that are given up on the way
-// and asked for anew, which crowds it more.
-BOOST_AUTO_TEST_CASE(AnswerThatKeepsComingIsNotGivenUp) {
+// Guards against large responses over a congested link that time out while they
+// make progress and are requested again, which adds to the congestion.
+BOOST_AUTO_TEST_CASE(ResponseWithProgressIsNotCancelled) {
   ServerThread* running = nullptr;
   ServerThread server([&](const std::shared_ptr<Exchange>& exchange) {
     AnswerSlowly(running->loop, exchange);
@@ -494,14 +498,14 @@
   BOOST_TEST((late.result.end == CallEnd::kBroken));
 }
 
-BOOST_AUTO_TEST_CASE(SilentAnswerIsGivenUp) {
+BOOST_AUTO_TEST_CASE(StalledResponseTimesOut) {
   std::vector<std::shared_ptr<Exchange>> held;
   ServerThread server([&](const std::shared_ptr<Exchange>& exchange) {
     held.push_back(exchange);
   });
-  const Fetched silent =
+  const Fetched stalled =
       FetchWithin(server, {milliseconds(100), milliseconds(60000)});
-  BOOST_TEST((silent.result.end == CallEnd::kBroken));
+  BOOST_TEST((stalled.result.end == CallEnd::kBroken));
   server.On([&] { held.clear(); });
 }
 
