--- a/include/toucanwharf/transport/errors.h
+++ b/include/toucanwharf/transport/errors.h
@@ -14,7 +14,8 @@
 /// Returns the category of TransportError. Thread safety: safe.
 const std::error_category& TransportCategory();
 
-/// Lets a TransportError become a std::error_code by itself.
+/// Makes TransportError implicitly convertible to std::error_code.
+/// Thread safety: safe.
 std::error_code make_error_code(TransportError error);
 
 }  // namespace toucanwharf::transport
--- a/include/toucanwharf/transport/event_loop.h
+++ b/include/toucanwharf/transport/event_loop.h
@@ -13,15 +13,15 @@
 
 namespace toucanwharf::transport {
 
-/// Names a timer of one loop; 0 names none.
+/// Identifies a timer of one loop; 0 identifies none.
 using TimerId = std::uint64_t;
 
-/// The one thread on which all decisions of a process are taken.
+/// Event loop of the single thread that owns the state of a process.
 ///
 /// Everything that reads or changes state of the core runs here, so that the
-/// core needs no locks; other threads (HTTP in, gRPC) hand their work over by
-/// Post. The loop waits in libcurl's multi interface, which also carries the
-/// process's own HTTP calls (http_client.h).
+/// core needs no locks; other threads (HTTP server, gRPC) submit tasks by Post.
+/// The loop waits in libcurl's multi interface, which also carries the
+/// process's outgoing HTTP calls (http_client.h).
 class EventLoop {
  public:
   using Task = std::function<void()>;
@@ -31,7 +31,7 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Runs \p task on the loop's thread, after what was posted before it. A
+  /// Queues \p task for the loop's thread, after those posted earlier. A
   /// task posted after Stop may never run.
   /// Thread safety: safe.
   void Post(Task task);
@@ -40,16 +40,16 @@
   /// Precondition: called on the loop's thread, or before Run.
   TimerId After(Duration delay, Task task);
 
-  /// Forgets a timer; one that has run, or 0, is ignored.
+  /// Cancels a timer; one that has run, or 0, is ignored.
   /// Precondition: called on the loop's thread, or before Run.
   void CancelTimer(TimerId id);
 
-  /// Serves tasks, timers and transfers until Stop.
-  /// Precondition: called once, by the thread that becomes the loop's.
+  /// Runs tasks, timers and transfers until Stop.
+  /// Precondition: called once, on the thread that becomes the loop's.
   void Run();
 
-  /// Makes Run return soon. Thread safety: safe, also in a signal handler's
-  /// thread, but not inside a signal handler.
+  /// Makes Run return after the current round. Thread safety: safe, also in a
+  /// signal handler's thread, but not inside a signal handler.
   void Stop();
 
   /// Returns the time on the clock that the timers use.
@@ -59,7 +59,7 @@
   /// Returns libcurl's multi handle. Only for the HTTP client.
   void* MultiHandle() const { return this->multi; }
 
-  /// Sets what is called after each round of transfers.
+  /// Sets a callback that runs after each round of transfers.
   /// Precondition: before Run. Only for the HTTP client.
   void SetTransfersHook(Task hook) { this->transfers_hook = std::move(hook); }
 
@@ -72,8 +72,8 @@
   void* multi;
   Task transfers_hook;
   std::atomic<bool> stopping{false};
-  /// Guards `posted`. A POSIX mutex and not Abseil's: ThreadSanitizer follows
-  /// it without a build of Abseil of our own.
+  /// Guards `posted`. A std::mutex and not Abseil's: ThreadSanitizer
+  /// supports it without an instrumented build of Abseil.
   std::mutex mutex;
   std::vector<Task> posted;
   std::map<std::pair<TimePoint, TimerId>, Task> timers;
--- a/include/toucanwharf/transport/event_stream.h
+++ b/include/toucanwharf/transport/event_stream.h
@@ -7,19 +7,20 @@
 
 namespace toucanwharf::transport {
 
-/// Splits a stream of server-sent events into the `data` of each event, for
-/// any cut of the bytes. Events longer than the limit are dropped and counted.
+/// Splits a stream of server-sent events into the `data` of each event. Reads
+/// may split the stream anywhere. Events above the size limit are dropped and
+/// counted.
 /// Thread safety: none.
 class EventStreamParser {
  public:
-  /// Takes \p bytes and returns the events that they complete.
+  /// Parses \p bytes and returns the events that they complete.
   std::vector<std::string> Feed(std::string_view bytes);
 
-  /// Returns how many events were dropped for their length.
+  /// Returns how many events were dropped because of their size.
   int Dropped() const { return this->dropped; }
 
  private:
-  void TakeLine(std::string_view line, std::vector<std::string>& events);
+  void ParseLine(std::string_view line, std::vector<std::string>& events);
 
   std::string partial_line;
   std::string data;
@@ -28,7 +29,7 @@
   int dropped = 0;
 };
 
-/// Returns \p data as one server-sent event.
+/// Returns \p data as one server-sent event. Thread safety: safe.
 std::string FormatEvent(std::string_view data);
 
 }  // namespace toucanwharf::transport
--- a/include/toucanwharf/transport/http_client.h
+++ b/include/toucanwharf/transport/http_client.h
@@ -15,18 +15,18 @@
 
 namespace toucanwharf::transport {
 
-/// Names one call of a client; 0 names none.
+/// Identifies a call of one client; 0 identifies none.
 using CallId = std::uint64_t;
 
 using Header = std::pair<std::string, std::string>;
 
-/// What becomes of the connection that a call uses.
+/// Whether a call may share its connection with other calls.
 enum class Reuse {
-  /// An idle connection may be taken, and is kept afterwards.
+  /// May use an idle connection; the connection is pooled afterwards.
   kAllowed,
-  /// A connection of its own, closed afterwards. libcurl by itself sends a
-  /// request again when a reused connection turns out to be dead; on a fresh
-  /// one it never does (I4).
+  /// Opens a new connection and closes it afterwards. libcurl resends a request
+  /// if a reused connection turns out to be closed; on a new one it never does
+  /// (I4).
   kNever,
 };
 
@@ -47,17 +47,17 @@
 /// How a call ended.
 enum class CallEnd { kAnswered, kNotConnected, kBroken, kTimedOut };
 
-/// What came back.
+/// Outcome of a call.
 struct HttpOutcome {
   CallEnd end = CallEnd::kBroken;
-  /// 0 when no status line came.
+  /// 0 if no status line was received.
   int status = 0;
   /// Names in lower case.
   std::map<std::string, std::string> headers;
-  /// Empty when the call had an on_data.
+  /// Empty if on_data received the body.
   std::string body;
-  /// Whether any byte of the request may have left this process. False is
-  /// certain (I3).
+  /// Whether any byte of the request may have been sent. False is certain
+  /// (I3).
   bool sent = false;
   std::string error;
 
@@ -66,14 +66,14 @@
 
 /// Callbacks of one call; all run on the loop's thread, none after Cancel.
 struct CallHandlers {
-  /// Optional: body bytes of a 2xx answer as they come.
+  /// Optional: receives the body bytes of a 2xx response as they arrive.
   std::function<void(std::string_view)> on_data;
-  /// Called once, last.
+  /// Runs exactly once, after all calls of on_data.
   std::function<void(HttpOutcome)> on_done;
 };
 
-/// Sends HTTP requests by libcurl without blocking the loop. Follows no
-/// redirects and repeats nothing by itself.
+/// Sends HTTP requests with libcurl without blocking the loop. Follows no
+/// redirects and adds no retries.
 /// Thread safety: none; all methods on the loop's thread, or before Run.
 class HttpClient {
  public:
@@ -96,7 +96,7 @@
   struct Transfer;
 
   void Add(CallId id);
-  void Reap();
+  void CollectFinished();
   void Finish(CallId id, int code);
   void Remove(CallId id);
 
--- a/include/toucanwharf/transport/http_server.h
+++ b/include/toucanwharf/transport/http_server.h
@@ -20,7 +20,7 @@
 
 namespace toucanwharf::transport {
 
-/// A request as it came in, body complete.
+/// A received request with its complete body.
 struct HttpRequest {
   std::string method;
   std::string path;
@@ -33,32 +33,32 @@
   friend bool operator==(const HttpRequest&, const HttpRequest&) = default;
 };
 
-/// One request and the way its answer goes back.
+/// One request and its response. Data written after the caller has
+/// disconnected is discarded.
 ///
-/// Thread safety: all methods are safe. What is sent after the caller has left
-/// is dropped.
+/// Thread safety: all methods are safe.
 class Exchange {
  public:
   explicit Exchange(HttpRequest request) : request(std::move(request)) {}
 
-  /// Returns the request. Never changes.
+  /// Returns the request, which never changes.
   const HttpRequest& Request() const { return this->request; }
 
-  /// Sends a complete answer.
+  /// Sends a complete response.
   /// Precondition: neither Respond nor BeginStream was called before.
   void Respond(int status, std::vector<Header> headers, std::string body);
 
-  /// Sends status and headers of an answer whose body follows by Write.
+  /// Sends status and headers of a response whose body follows by Write.
   /// Precondition: neither Respond nor BeginStream was called before.
   void BeginStream(int status, std::vector<Header> headers);
 
-  /// Adds to a stream's body. Precondition: BeginStream was called.
+  /// Appends to the body of a stream. Precondition: BeginStream was called.
   void Write(std::string_view bytes);
 
-  /// Ends a stream's body. Precondition: BeginStream was called.
+  /// Ends the body of a stream. Precondition: BeginStream was called.
   void End();
 
-  /// Returns true once the caller's connection is known to be closed.
+  /// Returns whether the caller's connection is known to be closed.
   bool IsDisconnected();
 
  private:
@@ -68,7 +68,7 @@
   void Resume();
 
   const HttpRequest request;
-  /// Guards all below.
+  /// Guards all members below.
   std::mutex mutex;
   MHD_Connection* connection = nullptr;
   int socket = -1;
@@ -76,29 +76,29 @@
   bool answered = false;
   bool streaming = false;
   bool ended = false;
-  bool left = false;
+  bool disconnected = false;
   bool server_closing = false;
   int status = 0;
   std::vector<Header> headers;
   std::string pending;
 };
 
-/// Bounds of what one listener takes in.
+/// Limits of one listener.
 struct ServerLimits {
   std::size_t body_bytes = 4 << 20;
   unsigned int connections = 16000;
-  /// Without a byte from the caller for this long the connection is closed.
+  /// Inactivity timeout of a caller's connection.
   Duration idle{std::chrono::seconds(75)};
-  /// A request must be complete this long after its first byte: a caller that
-  /// sends a byte now and then would otherwise hold its connection for ever.
+  /// Longest time from a request's first byte to its last: a caller that sends
+  /// a byte now and then would otherwise hold its connection indefinitely.
   Duration request{std::chrono::seconds(30)};
   unsigned int threads = 2;
 
   friend bool operator==(const ServerLimits&, const ServerLimits&) = default;
 };
 
-/// HTTP listener by libmicrohttpd. Its threads only read and write bytes; the
-/// handler hands each exchange on to the event loop.
+/// HTTP listener based on libmicrohttpd. Its threads only read and write bytes;
+/// the handler passes each exchange to the event loop.
 class HttpServer {
  public:
   /// Called on one of the server's threads for each complete request; must
@@ -117,11 +117,11 @@
   /// Returns the port that is listened on. Thread safety: safe.
   std::uint16_t Port() const { return this->port; }
 
-  /// Closes the listening socket; open connections go on (I6).
+  /// Closes the listening socket; open connections continue (I6).
   /// Thread safety: safe; the second call does nothing.
   void StopListening();
 
-  /// Returns the number of exchanges whose answer is not complete.
+  /// Returns the number of exchanges whose response is not complete.
   /// Thread safety: safe.
   std::size_t OpenExchanges() const { return this->open_exchanges; }
 
@@ -131,10 +131,10 @@
 
   HttpServer(ServerLimits limits, Handler handler);
 
-  /// Returns false when the server is closing.
+  /// Returns false if the server is closing.
   bool Register(const std::shared_ptr<Exchange>& exchange);
   void Unregister(const Exchange* exchange);
-  void WakeSuspended();
+  void ResumeAllSuspended();
 
   ServerLimits limits;
   Handler handler;
@@ -143,7 +143,7 @@
   int quiesced_socket = -1;
   std::atomic<bool> listening{true};
   std::atomic<std::size_t> open_exchanges{0};
-  /// Guards the two below.
+  /// Guards the two members below.
   std::mutex exchanges_mutex;
   std::map<const Exchange*, std::weak_ptr<Exchange>> exchanges;
   bool closing = false;
--- a/lib/transport/errors.cc
+++ b/lib/transport/errors.cc
@@ -13,9 +13,9 @@
     switch (static_cast<TransportError>(code)) {
       case TransportError::kBadAddress:
         return "the address is not of the form ip:port; write it with an IPv4 "
-               "number, as in 127.0.0.1:8080";
+               "address, as in 127.0.0.1:8080";
       case TransportError::kCannotListen:
-        return "the address cannot be listened on; free the port or set "
+        return "cannot listen on the address; free the port or set "
                "another one in the settings";
     }
     return "unknown transport error";
--- a/lib/transport/event_loop.cc
+++ b/lib/transport/event_loop.cc
@@ -9,16 +9,16 @@
 namespace toucanwharf::transport {
 namespace {
 
-constexpr int kLongestWaitMillis = 1000;
-constexpr long kCachedConnections = 4096;  // NOLINT(google-runtime-int)
+constexpr int kMaxWaitMillis = 1000;
+constexpr long kMaxIdleConnections = 4096;  // NOLINT(google-runtime-int)
 
 }  // namespace
 
 EventLoop::EventLoop() : multi(curl_multi_init()) {
-  assert(this->multi != nullptr && "libcurl must give a multi handle");
+  assert(this->multi != nullptr && "curl_multi_init must return a handle");
   // Idle connections kept for reuse. Above this number the oldest is closed,
-  // which costs a new connection and nothing else.
-  curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, kCachedConnections);
+  // which only costs a new connection later.
+  curl_multi_setopt(this->multi, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
 }
 
 EventLoop::~EventLoop() { curl_multi_cleanup(this->multi); }
@@ -84,12 +84,12 @@
 }
 
 int EventLoop::WaitMillis() const {
-  if (this->timers.empty()) return kLongestWaitMillis;
-  const Duration left = this->timers.begin()->first.first - this->Now();
-  if (left <= Duration(0)) return 0;
+  if (this->timers.empty()) return kMaxWaitMillis;
+  const Duration remaining = this->timers.begin()->first.first - this->Now();
+  if (remaining <= Duration(0)) return 0;
   const auto millis =
-      std::chrono::ceil<std::chrono::milliseconds>(left).count();
-  return static_cast<int>(std::min<std::int64_t>(millis, kLongestWaitMillis));
+      std::chrono::ceil<std::chrono::milliseconds>(remaining).count();
+  return static_cast<int>(std::min<std::int64_t>(millis, kMaxWaitMillis));
 }
 
 }  // namespace toucanwharf::transport
--- a/lib/transport/event_stream.cc
+++ b/lib/transport/event_stream.cc
@@ -5,9 +5,9 @@
 namespace toucanwharf::transport {
 namespace {
 
-// An endpoint that never ends its line must not fill the memory of a router
-// that serves many others.
-constexpr std::size_t kLongestEvent = 1 << 20;
+// Bounds the memory that an endpoint which never ends a line or event can use
+// in a router that serves many others.
+constexpr std::size_t kMaxEventBytes = 1 << 20;
 constexpr std::string_view kDataField = "data:";
 
 }  // namespace
@@ -17,7 +17,7 @@
   while (!bytes.empty()) {
     const std::size_t end = bytes.find('\n');
     this->partial_line.append(bytes.substr(0, end));
-    if (this->partial_line.size() > kLongestEvent) {
+    if (this->partial_line.size() > kMaxEventBytes) {
       this->partial_line.clear();
       this->too_long = true;
     }
@@ -26,13 +26,13 @@
     std::string line;
     line.swap(this->partial_line);
     if (!line.empty() && line.back() == '\r') line.pop_back();
-    this->TakeLine(line, events);
+    this->ParseLine(line, events);
   }
   return events;
 }
 
-void EventStreamParser::TakeLine(std::string_view line,
-                                 std::vector<std::string>& events) {
+void EventStreamParser::ParseLine(std::string_view line,
+                                  std::vector<std::string>& events) {
   if (line.empty()) {
     if (this->too_long) ++this->dropped;
     if (this->has_data && !this->too_long) {
@@ -49,7 +49,7 @@
   if (this->has_data) this->data.push_back('\n');
   this->data.append(line);
   this->has_data = true;
-  if (this->data.size() > kLongestEvent) this->too_long = true;
+  if (this->data.size() > kMaxEventBytes) this->too_long = true;
 }
 
 std::string FormatEvent(std::string_view data) {
--- a/lib/transport/http_client.cc
+++ b/lib/transport/http_client.cc
@@ -11,8 +11,7 @@
 
 namespace toucanwharf::transport {
 
-/// One call under way. Its address is libcurl's private pointer, so it never
-/// moves.
+/// One call in flight. libcurl holds a pointer to it, so it must not move.
 struct HttpClient::Transfer {
   CallId id = 0;
   CURL* easy = nullptr;
@@ -20,8 +19,8 @@
   HttpCall call;
   CallHandlers handlers;
   HttpOutcome outcome;
-  // A callback may cancel its own call; libcurl forbids to remove a handle
-  // inside its callbacks, so that the removal waits for Reap.
+  // A callback may cancel its own call. libcurl forbids removing a handle
+  // inside its callbacks, so Cancel posts the removal.
   bool cancelled = false;
 
   ~Transfer() {
@@ -32,14 +31,15 @@
 
 namespace {
 
-// Unacknowledged bytes older than this break the connection: a path that went
-// silent shows as an error instead of waiting for the kernel's many minutes.
+// A connection whose data stays unacknowledged for this long fails, instead of
+// after the kernel's default of many minutes on an unresponsive network path.
 constexpr int kUserTimeoutMillis = 5000;
 // NOLINTBEGIN(google-runtime-int): libcurl's options are long.
 constexpr long kKeepaliveIdleSeconds = 5;
 constexpr long kKeepaliveProbeSeconds = 2;
 
-int OnSocket(void* /*owner*/, curl_socket_t socket, curlsocktype /*purpose*/) {
+int SetUserTimeout(void* /*owner*/, curl_socket_t socket,
+                   curlsocktype /*purpose*/) {
   const int timeout = kUserTimeoutMillis;
   setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
   return CURL_SOCKOPT_OK;
@@ -96,7 +96,7 @@
 }
 
 template <typename Owner>
-void SetUp(Owner& transfer) {
+void Configure(Owner& transfer) {
   CURL* easy = transfer.easy;
   const HttpCall& call = transfer.call;
   for (const auto& [name, value] : call.headers) {
@@ -107,7 +107,7 @@
   transfer.headers = curl_slist_append(transfer.headers, "Expect:");
   curl_easy_setopt(easy, CURLOPT_PRIVATE, &transfer);
   curl_easy_setopt(easy, CURLOPT_URL, call.url.c_str());
-  // The path goes out as the caller of this client wrote it.
+  // Sends the path as the user of this client wrote it.
   curl_easy_setopt(easy, CURLOPT_PATH_AS_IS, 1L);
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call.method.c_str());
   curl_easy_setopt(easy, CURLOPT_HTTPHEADER, transfer.headers);
@@ -118,7 +118,7 @@
   curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
   curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, kKeepaliveIdleSeconds);
   curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, kKeepaliveProbeSeconds);
-  curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, OnSocket);
+  curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, SetUserTimeout);
   curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
                    Millis(call.connect_timeout));
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, Millis(call.total_timeout));
@@ -141,7 +141,7 @@
 }  // namespace
 
 HttpClient::HttpClient(EventLoop& loop) : loop(loop) {
-  loop.SetTransfersHook([this] { this->Reap(); });
+  loop.SetTransfersHook([this] { this->CollectFinished(); });
 }
 
 HttpClient::~HttpClient() {
@@ -150,20 +150,20 @@
 }
 
 CallId HttpClient::Start(HttpCall call, CallHandlers handlers) {
-  assert(handlers.on_done && "every call must say where its end goes");
+  assert(handlers.on_done && "a call must have an on_done callback");
   auto transfer = std::make_unique<Transfer>();
   const CallId id = ++this->last_call;
   transfer->id = id;
   transfer->easy = curl_easy_init();
   transfer->call = std::move(call);
   transfer->handlers = std::move(handlers);
-  SetUp(*transfer);
+  Configure(*transfer);
   CURL* easy = transfer->easy;
   this->transfers.emplace(id, std::move(transfer));
   const CURLMcode added = curl_multi_add_handle(this->loop.MultiHandle(), easy);
-  // libcurl takes no new transfer inside its own callbacks. A stage that is
-  // replaced because of what a stream's data says would start there, and its
-  // call would never be sent nor end; it is added right after the callback.
+  // libcurl accepts no new transfer inside its callbacks. When data of a stream
+  // causes a stage to be replaced, its call starts there; it would be neither
+  // sent nor ended, so it is added after the callback.
   if (added == CURLM_RECURSIVE_API_CALL) {
     this->loop.Post([this, id] { this->Add(id); });
   }
@@ -183,17 +183,17 @@
   this->loop.Post([this, id] { this->Remove(id); });
 }
 
-void HttpClient::Reap() {
-  std::vector<std::pair<CallId, int>> ended;
-  int left = 0;
+void HttpClient::CollectFinished() {
+  std::vector<std::pair<CallId, int>> finished;
+  int queued = 0;
   while (const CURLMsg* message =
-             curl_multi_info_read(this->loop.MultiHandle(), &left)) {
+             curl_multi_info_read(this->loop.MultiHandle(), &queued)) {
     if (message->msg != CURLMSG_DONE) continue;
     Transfer* transfer = nullptr;
     curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
-    ended.emplace_back(transfer->id, message->data.result);
+    finished.emplace_back(transfer->id, message->data.result);
   }
-  for (const auto& [id, code] : ended) this->Finish(id, code);
+  for (const auto& [id, code] : finished) this->Finish(id, code);
 }
 
 void HttpClient::Finish(CallId id, int code) {
--- a/lib/transport/http_server.cc
+++ b/lib/transport/http_server.cc
@@ -20,7 +20,7 @@
 void Exchange::Respond(int new_status, std::vector<Header> new_headers,
                        std::string body) {
   const std::lock_guard lock(this->mutex);
-  assert(!this->answered && "an exchange is answered once");
+  assert(!this->answered && "an exchange has exactly one response");
   this->answered = true;
   this->ended = true;
   this->status = new_status;
@@ -31,7 +31,7 @@
 
 void Exchange::BeginStream(int new_status, std::vector<Header> new_headers) {
   const std::lock_guard lock(this->mutex);
-  assert(!this->answered && "an exchange is answered once");
+  assert(!this->answered && "an exchange has exactly one response");
   this->answered = true;
   this->streaming = true;
   this->status = new_status;
@@ -41,29 +41,29 @@
 
 void Exchange::Write(std::string_view bytes) {
   const std::lock_guard lock(this->mutex);
-  assert(this->streaming && "only a stream is written to");
-  if (this->left) return;
+  assert(this->streaming && "Write requires BeginStream");
+  if (this->disconnected) return;
   this->pending.append(bytes);
   this->Resume();
 }
 
 void Exchange::End() {
   const std::lock_guard lock(this->mutex);
-  assert(this->streaming && "only a stream is ended");
+  assert(this->streaming && "End requires BeginStream");
   this->ended = true;
   this->Resume();
 }
 
 bool Exchange::IsDisconnected() {
   const std::lock_guard lock(this->mutex);
-  if (this->left) return true;
-  // libmicrohttpd does not look at a suspended connection, so its end is
-  // looked for here; the socket stays open as long as it is suspended.
+  if (this->disconnected) return true;
+  // libmicrohttpd doesn't poll a suspended connection, so a close by the caller
+  // is detected here; the socket stays open while the connection is suspended.
   if (!this->suspended || this->socket < 0) return false;
   char byte = 0;
-  const ssize_t got =
+  const ssize_t received_bytes =
       recv(this->socket, &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-  return got == 0;
+  return received_bytes == 0;
 }
 
 void Exchange::Resume() {
@@ -74,7 +74,7 @@
 
 /// State of a connection while its request is read.
 struct HttpServer::Incoming {
-  TimePoint began;
+  TimePoint start_time;
   std::string body;
   bool refused = false;
   std::shared_ptr<Exchange> exchange;
@@ -82,8 +82,8 @@
 
 namespace {
 
-constexpr int kTooLarge = 413;
-constexpr int kTooSlow = 408;
+constexpr int kContentTooLarge = 413;
+constexpr int kRequestTimeout = 408;
 
 MHD_Result AddPair(void* owner, enum MHD_ValueKind /*kind*/, const char* key,
                    const char* value) {
@@ -131,7 +131,7 @@
 
 }  // namespace
 
-/// libmicrohttpd's callbacks, with access to the server's private parts.
+/// Callbacks of libmicrohttpd, with access to the server's private members.
 struct HttpServer::Callbacks {
   static MHD_Result OnAccess(void* owner, MHD_Connection* connection,
                              const char* url, const char* method,
@@ -140,7 +140,7 @@
     auto* server = static_cast<HttpServer*>(owner);
     if (*state == nullptr) {
       auto* incoming = new Incoming;
-      incoming->began = BootClock().Now();
+      incoming->start_time = BootClock().Now();
       *state = incoming;
       ++server->open_exchanges;
       return MHD_YES;
@@ -150,19 +150,19 @@
     if (*upload_size > 0) {
       const std::string_view bytes(upload, *upload_size);
       *upload_size = 0;
-      return TakeBody(*server, connection, *incoming, bytes);
+      return AppendBody(*server, connection, *incoming, bytes);
     }
     if (incoming->refused) {
-      return RefuseNow(connection, kTooLarge,
+      return RefuseNow(connection, kContentTooLarge,
                        "the body is too large; send less");
     }
-    return HandOver(*server, connection, *incoming, url, method);
+    return PassToHandler(*server, connection, *incoming, url, method);
   }
 
-  static MHD_Result TakeBody(HttpServer& server, MHD_Connection* connection,
-                             Incoming& incoming, std::string_view bytes) {
-    if (BootClock().Now() - incoming.began > server.limits.request) {
-      return RefuseNow(connection, kTooSlow,
+  static MHD_Result AppendBody(HttpServer& server, MHD_Connection* connection,
+                               Incoming& incoming, std::string_view bytes) {
+    if (BootClock().Now() - incoming.start_time > server.limits.request) {
+      return RefuseNow(connection, kRequestTimeout,
                        "the request came too slowly; send it at once");
     }
     if (incoming.body.size() + bytes.size() > server.limits.body_bytes) {
@@ -173,9 +173,10 @@
     return MHD_YES;
   }
 
-  static MHD_Result HandOver(HttpServer& server, MHD_Connection* connection,
-                             Incoming& incoming, const char* url,
-                             const char* method) {
+  static MHD_Result PassToHandler(HttpServer& server,
+                                  MHD_Connection* connection,
+                                  Incoming& incoming, const char* url,
+                                  const char* method) {
     HttpRequest request;
     request.method = method;
     request.path = url;
@@ -201,7 +202,7 @@
     return MHD_YES;
   }
 
-  /// The head of an answer, and its body unless it is streamed.
+  /// The head of a response, and its body unless it is streamed.
   struct Head {
     int status = 0;
     bool streaming = false;
@@ -220,18 +221,19 @@
     return head;
   }
 
-  // The exchange is not locked while libmicrohttpd is called: it takes a lock
-  // of its own here, under which it calls ReadStream, which locks the exchange.
+  // Calls libmicrohttpd without holding the exchange's mutex: libmicrohttpd
+  // locks its own mutex here, and calls ReadStream under it, which locks the
+  // exchange.
   static MHD_Result Answer(MHD_Connection* connection,
                            const std::shared_ptr<Exchange>& exchange) {
     const std::optional<Head> head = TakeHead(*exchange);
-    // Woken without an answer: the server is closing.
+    // Resumed without a response: the server is closing.
     if (!head) return MHD_NO;
     MHD_Response* response = nullptr;
     if (head->streaming) {
-      constexpr std::size_t kBlock = 16384;
+      constexpr std::size_t kBlockBytes = 16384;
       response = MHD_create_response_from_callback(
-          MHD_SIZE_UNKNOWN, kBlock, ReadStream,
+          MHD_SIZE_UNKNOWN, kBlockBytes, ReadStream,
           new std::shared_ptr<Exchange>(exchange), FreeStream);
     } else {
       response = MHD_create_response_from_buffer(
@@ -248,7 +250,7 @@
   }
 
   static ssize_t ReadStream(void* owner, std::uint64_t /*position*/,
-                            char* buffer, std::size_t room) {
+                            char* buffer, std::size_t capacity) {
     Exchange& exchange = **static_cast<std::shared_ptr<Exchange>*>(owner);
     const std::lock_guard lock(exchange.mutex);
     if (exchange.pending.empty()) {
@@ -258,7 +260,7 @@
       MHD_suspend_connection(exchange.connection);
       return 0;
     }
-    const std::size_t size = std::min(room, exchange.pending.size());
+    const std::size_t size = std::min(capacity, exchange.pending.size());
     std::copy_n(exchange.pending.begin(), size, buffer);
     exchange.pending.erase(0, size);
     return static_cast<ssize_t>(size);
@@ -277,7 +279,7 @@
     if (incoming->exchange) {
       server->Unregister(incoming->exchange.get());
       const std::lock_guard lock(incoming->exchange->mutex);
-      incoming->exchange->left = true;
+      incoming->exchange->disconnected = true;
       incoming->exchange->suspended = false;
       incoming->exchange->connection = nullptr;
       incoming->exchange->socket = -1;
@@ -319,12 +321,12 @@
 
 HttpServer::~HttpServer() {
   if (this->daemon == nullptr) return;
-  // Not by StopListening first: libmicrohttpd's quiesce takes the listening
-  // socket out of its epoll set in the calling thread and in its own, and when
-  // the two meet it aborts the process ("Failed to remove listen FD from epoll
-  // set"; once in a run of all tests beside other load). Stopping the daemon
-  // ends its thread before the socket is closed.
-  this->WakeSuspended();
+  // Doesn't call StopListening first: libmicrohttpd's quiesce removes the
+  // listening socket from its epoll set both in the calling thread and in its
+  // own, and rarely, under load, this race aborts the process ("Failed to
+  // remove listen FD from epoll set"). Stopping the daemon ends its thread
+  // before the socket is closed.
+  this->ResumeAllSuspended();
   MHD_stop_daemon(this->daemon);
   if (this->quiesced_socket >= 0) close(this->quiesced_socket);
 }
@@ -341,12 +343,12 @@
   this->exchanges.erase(exchange);
 }
 
-/// Failure guarded against: a request is handed over and never answered, since
-/// its loop has stopped. libmicrohttpd aborts the process when it is stopped
-/// with suspended connections (6 of 40 runs of one test). The guard: all that
-/// are suspended are resumed, and end without an answer; later ones are refused
-/// before they are suspended.
-void HttpServer::WakeSuspended() {
+/// Guards against an abort at shutdown: a request that was passed to a loop
+/// that has stopped never gets a response, and libmicrohttpd aborts the process
+/// if it is stopped with suspended connections (about 6 of 40 times). Resumes
+/// all suspended connections, which end without a response; later requests are
+/// refused before their connection is suspended.
+void HttpServer::ResumeAllSuspended() {
   std::map<const Exchange*, std::weak_ptr<Exchange>> open;
   {
     const std::lock_guard lock(this->exchanges_mutex);
@@ -367,9 +369,9 @@
 void HttpServer::StopListening() {
   if (!this->listening.exchange(false)) return;
   this->quiesced_socket = MHD_quiesce_daemon(this->daemon);
-  // The server's threads may use the socket for a moment yet, so that it is
-  // closed only after they ended: its number could by then be another's. This
-  // refuses new connections from now on.
+  // The server's threads may still use the descriptor, which could be reused
+  // for another file once closed, so it is closed only after they have ended.
+  // The shutdown refuses new connections from now on.
   if (this->quiesced_socket >= 0) shutdown(this->quiesced_socket, SHUT_RDWR);
 }
 
--- a/unittests/transport/event_stream_test.cc
+++ b/unittests/transport/event_stream_test.cc
@@ -9,9 +9,9 @@
 namespace toucanwharf::transport {
 namespace {
 
-// A caller sees a token twice, torn or not at all when the router's reader
-// depends on where TCP cut the stream. The engine sends whole events; the
-// network delivers them in pieces of any size.
+// Guards against tokens that reach a caller twice, split or not at all because
+// the parser depends on where TCP segments the stream. The engine sends
+// complete events; the network delivers them in segments of any size.
 RC_BOOST_PROP(AnyCutGivesTheSameEvents,
               (const std::vector<std::uint8_t>& raw_cuts)) {
   const std::vector<std::string> sent = {"one", "{\"a\":2}", "", "last"};
--- a/unittests/transport/http_test.cc
+++ b/unittests/transport/http_test.cc
@@ -19,7 +19,7 @@
 namespace toucanwharf::transport {
 namespace {
 
-/// An event loop on a thread of its own, with a client.
+/// An event loop on its own thread, with a client.
 class LoopThread {
  public:
   LoopThread() : client(this->loop), thread([this] { this->loop.Run(); }) {}
@@ -28,7 +28,7 @@
     this->thread.join();
   }
 
-  /// Runs \p call and waits for its end.
+  /// Runs \p call and waits for its outcome.
   HttpOutcome Fetch(HttpCall call, std::string* streamed = nullptr) {
     std::promise<HttpOutcome> done;
     CallHandlers handlers;
@@ -99,13 +99,10 @@
   BOOST_TEST(streamed.size() == 400u);
 }
 
-// A router works on for a caller who hung up, and an engine's slot is lost to
-// others. The caller closes its connection while its request waits; the
-// listener does not look at suspended connections by itself.
-// An engine's stream says that a later stage is lost. The router starts the
-// next attempt while it reads that event, inside libcurl's own callback, which
-// takes no new transfers: the attempt was never sent, and the caller waited
-// for the first-token deadline.
+// Guards against an attempt that is never sent, so that the caller waits for
+// the first-token deadline: an engine's stream reports that a later stage is
+// lost, and the router starts the next attempt while it reads that event,
+// inside libcurl's callback, which accepts no new transfers.
 BOOST_AUTO_TEST_CASE(CallStartedInsideDataCallbackIsSent) {
   auto server = Serve([](const std::shared_ptr<Exchange>& exchange) {
     exchange->Respond(200, {}, "x");
@@ -130,7 +127,10 @@
   BOOST_TEST(ended.get().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(LeftCallerIsSeen) {
+// Guards against work for a disconnected caller, which holds an engine's slot:
+// the caller closes its connection while its request waits, and the listener
+// doesn't poll suspended connections by itself.
+BOOST_AUTO_TEST_CASE(DisconnectedCallerIsDetected) {
   std::promise<std::shared_ptr<Exchange>> taken;
   auto server = Serve([&](const std::shared_ptr<Exchange>& exchange) {
     taken.set_value(exchange);
@@ -172,11 +172,11 @@
   BOOST_TEST(!outcome.sent);
 }
 
-/// Answers the first request of a connection and closes it at the second one
-/// without an answer; counts the requests.
-class ForgetfulServer {
+/// Answers the first request and closes the connection at the second one
+/// without a response; counts the requests.
+class ClosingServer {
  public:
-  ForgetfulServer() : listener(socket(AF_INET, SOCK_STREAM, 0)) {
+  ClosingServer() : listener(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -188,7 +188,7 @@
     listen(this->listener, 8);
     this->acceptor = std::thread([this] { this->Accept(); });
   }
-  ~ForgetfulServer() {
+  ~ClosingServer() {
     shutdown(this->listener, SHUT_RDWR);
     this->acceptor.join();
     for (std::thread& reader : this->readers) reader.join();
@@ -208,8 +208,8 @@
     }
   }
 
-  // Only the very first request of all is answered, so that a repeat on a new
-  // connection gets nothing either.
+  // Answers only the first request of all connections, so that a resend on a
+  // new connection gets no response either.
   void Read(int connection) {
     while (this->ReadRequest(connection) && this->requests == 1) {
       const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -235,8 +235,8 @@
 };
 
 int RequestsSeenFor(Reuse reuse) {
-  ForgetfulServer server;
-  LoopThread client;  // ends first, which closes its connections
+  ClosingServer server;
+  LoopThread client;  // destroyed first, which closes its connections
   HttpCall call = CallTo(server.port);
   client.Fetch(call);
   call.method = "POST";
@@ -247,12 +247,13 @@
   return server.requests - 1;
 }
 
-// A lot is signed twice although the router sent the call once. An idle
-// connection is reused, the endpoint reads the request and closes; libcurl
-// takes the connection for one that died earlier and sends the request again.
+// Guards against a call that runs twice although the router sent it once, such
+// as a lot that is signed twice. An idle connection is reused, the endpoint
+// reads the request and closes; libcurl assumes that the connection was closed
+// earlier and resends the request.
 BOOST_AUTO_TEST_CASE(NonIdempotentCallIsNeverResentByTheLibrary) {
   BOOST_TEST(RequestsSeenFor(Reuse::kNever) == 1);
-  // The library's own repeat, which shows what the guard is for.
+  // libcurl's resend, which shows that the scenario reproduces it.
   BOOST_TEST(RequestsSeenFor(Reuse::kAllowed) == 2);
 }
 
