--- a/cmake/EmbedSchemas.cmake
+++ b/cmake/EmbedSchemas.cmake
@@ -1,5 +1,5 @@
-# tw_embed_schemas(PACKAGE FOLDER): compiles every JSON file below FOLDER into
-# the package's library, so that a program needs no files at run time. The
+# tw_embed_schemas(PACKAGE path...): compiles the JSON files at the given paths
+# into the package's library, so that programs need no files at run time. The
 # generated source defines toucanwharf::PACKAGE::EmbeddedSchema(path), where
 # path is relative to schemas/.
 function(tw_embed_schemas PACKAGE)
--- a/cmake/Workspace.cmake
+++ b/cmake/Workspace.cmake
@@ -1,6 +1,6 @@
-# The workspace's packages: one static library per folder of lib/, one test
-# program per library in unittests/. A package names the packages it builds
-# on, all of them lower ones, so that the order has no cycles.
+# Packages of the workspace: one static library per folder of lib/, one test
+# program per folder of unittests/. A package lists the packages that it depends
+# on; dependencies have no cycles.
 
 add_library(tw_options INTERFACE)
 target_compile_options(tw_options INTERFACE -Wall -Wextra -Wpedantic $<$<CXX_COMPILER_ID:GNU>:-Wshadow=local> -Werror)
@@ -8,18 +8,18 @@
 if(TOUCANWHARF_SANITIZE)
   target_compile_options(tw_options INTERFACE
     -fsanitize=${TOUCANWHARF_SANITIZE} -fno-sanitize-recover=all -fno-omit-frame-pointer
-    # Instrumented code makes g++ see unset variables in the standard library;
-    # the plain build keeps the warning.
+    # In instrumented code g++ wrongly reports uninitialized variables in the
+    # standard library; the plain build keeps the warning.
     $<$<CXX_COMPILER_ID:GNU>:-Wno-maybe-uninitialized>)
   target_link_options(tw_options INTERFACE -fsanitize=${TOUCANWHARF_SANITIZE})
 endif()
 
-# tw_unit_tests(NAME LIBRARY): unittests/NAME/*.cc as the test program
-# test_NAME, if there are any.
+# tw_unit_tests(NAME LIBRARY): builds the test program test_NAME from
+# unittests/NAME/*.cc, if there are any.
 function(tw_unit_tests NAME library)
   file(GLOB tests CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/unittests/${NAME}/*.cc)
   if(tests)
-    # Boost.Test puts main() into the one file that names the module.
+    # Boost.Test defines main() in the one file that defines the module.
     set(test_main ${CMAKE_BINARY_DIR}/test_mains/${NAME}.cc)
     file(CONFIGURE OUTPUT ${test_main} CONTENT
       "#define BOOST_TEST_MODULE ${NAME}\n#include <boost/test/unit_test.hpp>\n")
@@ -33,8 +33,8 @@
   endif()
 endfunction()
 
-# tw_package(NAME [DEPS library...]): lib/NAME/*.cc as toucanwharf_NAME and
-# unittests/NAME/*.cc as the test program test_NAME.
+# tw_package(NAME [DEPS library...]): builds the library toucanwharf_NAME from
+# lib/NAME/*.cc and the test program test_NAME from unittests/NAME/*.cc.
 function(tw_package NAME)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/lib/${NAME}/*.cc)
@@ -49,7 +49,8 @@
   tw_unit_tests(${NAME} ${library})
 endfunction()
 
-# tw_program(NAME FOLDER [DEPS library...]): FOLDER/*.cc as one program.
+# tw_program(NAME FOLDER [DEPS library...]): builds the program NAME from
+# FOLDER/*.cc.
 function(tw_program NAME FOLDER)
   cmake_parse_arguments(ARG "" "" "DEPS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/${FOLDER}/*.cc)
@@ -57,8 +58,8 @@
   target_link_libraries(${NAME} PRIVATE tw_options ${ARG_DEPS})
 endfunction()
 
-# tw_position_independent(library...): these and the packages that they build on
-# can be linked into a loadable module.
+# tw_position_independent(library...): builds these libraries and the packages
+# that they depend on so that they can be linked into a loadable module.
 function(tw_position_independent)
   foreach(library ${ARGN})
     if(NOT TARGET ${library} OR NOT library MATCHES "^(toucanwharf_|peers_)")
--- a/include/toucanwharf/eventlog/explain.h
+++ b/include/toucanwharf/eventlog/explain.h
@@ -7,18 +7,18 @@
 #include <string_view>
 #include <vector>
 
-/// Reading log lines again, to tell what became of a request.
+/// Reads log lines to explain the outcome of a request.
 namespace toucanwharf::eventlog {
 
 /// One log line.
 struct LogEntry {
-  /// Milliseconds since 1970, by the writer's wall clock.
-  std::uint64_t at = 0;
+  /// Milliseconds since 1970 on the writer's wall clock.
+  std::uint64_t time_ms = 0;
   std::string instance;
   std::string event;
-  /// The request that it is about; empty for a change of belief.
+  /// Id of the request; empty for a change of the instance's state.
   std::string request;
-  /// Why a try or a request ended as it did; empty for other events.
+  /// Reason for the end of an attempt or a request; empty for other events.
   std::string why;
   /// The whole line.
   std::string text;
@@ -26,26 +26,26 @@
   friend bool operator==(const LogEntry&, const LogEntry&) = default;
 };
 
-/// Returns the entry in \p line, or nothing if it is no line of this log. Text
-/// before the line's first brace, as collectors put it, is skipped.
+/// Returns the entry in \p line, or nothing if it isn't a line of this log.
+/// Skips text before the first brace, such as the prefix of a log collector.
 /// Thread safety: safe.
 std::optional<LogEntry> ParseLogLine(std::string_view line);
 
-/// What the logs tell of one request.
+/// What the logs show about one request.
 struct Explanation {
-  /// What happened to it, in order.
+  /// Events of the request, in order.
   std::vector<LogEntry> steps;
-  /// The last changes of what its instance believed before it ended, one of
-  /// each kind, in order.
+  /// The last change of its instance's state before the request ended, for each
+  /// kind of event, in order.
   std::vector<LogEntry> state_changes;
-  /// The likely cause, in words.
+  /// The likely cause, as text.
   std::string cause;
 
   friend bool operator==(const Explanation&, const Explanation&) = default;
 };
 
 /// Explains the request \p id from \p entries of any number of processes, in
-/// any order. Steps are empty if no entry is about it. Thread safety: safe.
+/// any order. `steps` is empty if no entry is about it. Thread safety: safe.
 Explanation Explain(std::vector<LogEntry> entries, const std::string& id);
 
 }  // namespace toucanwharf::eventlog
--- a/include/toucanwharf/eventlog/logger.h
+++ b/include/toucanwharf/eventlog/logger.h
@@ -7,18 +7,18 @@
 
 #include "toucanwharf/support/clock.h"
 
-/// Structured log lines, one JSON object each, that never block their writer.
+/// Structured logging, one JSON object per line, that never blocks the process.
 namespace toucanwharf::eventlog {
 
-/// What is dropped first when there are too many lines.
+/// Which lines are dropped first when there are too many.
 enum class Level {
-  /// What happens to every request; sampled.
+  /// Events of every request; sampled.
   kRoutine,
-  /// Refusals, failures, and changes of what the process believes.
+  /// Refusals, failures, and changes of the process's state.
   kNotable,
 };
 
-/// The members of one line, in the order in which they are added.
+/// The JSON members of one line, in the order added.
 /// Thread safety: none.
 class Fields {
  public:
@@ -41,55 +41,55 @@
   std::string json;
 };
 
-/// Bounds on the volume, with the reason of each.
+/// Limits on the log volume.
 struct LoggerSettings {
   /// Lines a second. A line costs about 5 us to build and write, so 200 of
   /// each level take at most 0.2% of a core.
   double routine_per_second = 20;
   double notable_per_second = 200;
-  /// Lines that may come at once after a quiet time.
+  /// Capacity of each rate limit's token bucket, in seconds of its rate.
   double burst_seconds = 2;
-  /// Bytes that wait for a reader that is slow or gone.
-  std::size_t most_buffered = 256UL * 1024;
+  /// Bytes buffered for a slow or missing reader.
+  std::size_t max_buffered_bytes = 256UL * 1024;
 };
 
-/// Collects lines and writes them to a descriptor without ever waiting for it.
+/// Buffers lines and writes them to a descriptor without blocking.
 /// Thread safety: none; for one thread.
 class Logger {
  public:
-  /// Writes to \p descriptor lines that name the process \p instance.
+  /// Writes to \p descriptor; every line names \p instance.
   Logger(int descriptor, std::string instance,
-         const LoggerSettings& chosen = {});
+         const LoggerSettings& logger_settings = {});
 
-  /// Adds a line about \p event unless there were too many; \p now is the
-  /// boot clock's.
+  /// Adds a line about \p event, or drops it if the rate or buffer limit is
+  /// reached; \p now is on the boot clock.
   void Write(Level level, std::string_view event, const Fields& fields,
              TimePoint now);
-  /// Writes what the descriptor takes now.
+  /// Writes as much as the descriptor accepts without blocking.
   void Flush();
   /// Returns how many lines were dropped.
   std::uint64_t Dropped() const { return this->dropped; }
-  /// Returns the bytes that wait.
+  /// Returns the number of buffered bytes.
   std::size_t Buffered() const { return this->buffer.size(); }
 
  private:
-  struct Allowance {
+  struct TokenBucket {
     double per_second = 0;
     double tokens = 0;
-    TimePoint filled;
+    TimePoint refilled_at;
   };
 
-  bool Take(Allowance& from, TimePoint now) const;
+  bool TakeToken(TokenBucket& bucket, TimePoint now) const;
   void Append(std::string_view event, const Fields& fields);
 
   int descriptor;
   std::string instance;
   LoggerSettings settings;
-  Allowance routine;
-  Allowance notable;
+  TokenBucket routine;
+  TokenBucket notable;
   std::string buffer;
   std::uint64_t dropped = 0;
-  std::uint64_t dropped_told = 0;
+  std::uint64_t dropped_reported = 0;
 };
 
 }  // namespace toucanwharf::eventlog
--- a/include/toucanwharf/exchange/peer_exchange.h
+++ b/include/toucanwharf/exchange/peer_exchange.h
@@ -14,10 +14,10 @@
 #include "toucanwharf/support/result.h"
 #include "toucanwharf/transport/event_loop.h"
 
-/// What one router exchanges with the others.
+/// Exchange of membership, configuration and answers between routers.
 namespace toucanwharf::exchange {
 
-/// What the daemon answers to other routers, on the loop's thread.
+/// Callbacks that serve the requests of other routers, on the loop's thread.
 struct PeerCallbacks {
   /// See peers::Handlers::config.
   std::function<std::optional<std::string>(std::uint64_t since)> config;
@@ -27,55 +27,58 @@
       answer;
 };
 
-/// Counts since the start.
+/// Counters since the start of the process.
 struct Counters {
   std::uint64_t probes_sent = 0;
   std::uint64_t probes_received = 0;
   std::uint64_t probes_failed = 0;
-  /// Gossip in messages sent and received; the frames round it come on top.
+  /// Encoded gossip sent and received, without the framing around it.
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
 
   friend bool operator==(const Counters&, const Counters&) = default;
 };
 
-/// Joins membership with gRPC and the event loop.
-/// Thread safety: none; all methods on the loop's thread, or before it runs.
+/// Runs the membership protocol over gRPC on the event loop. The daemon owns
+/// it. Thread safety: none; all methods on the loop's thread, or before it
+/// runs.
 class PeerExchange {
  public:
   /// Uses the peers' addresses, key and instance id of \p router_settings.
   /// Precondition: \p event_loop outlives the exchange.
   PeerExchange(transport::EventLoop& event_loop,
-               const settings::Settings& router_settings, PeerCallbacks answered);
+               const settings::Settings& router_settings,
+               PeerCallbacks peer_callbacks);
   ~PeerExchange();
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
 
-  /// Listens for peers and begins to probe. Precondition: called once.
+  /// Listens for peers and starts probing. Precondition: called once.
   Result<void> Start();
-  /// Takes in the routers of the platform's list: ids, and the addresses at
+  /// Updates the routers that the platform lists: ids, and the addresses at
   /// which peers reach them.
   void OnList(const std::vector<membership::Seed>& list);
-  /// Tells all others that this router drains (I5).
+  /// Announces to all members that this router drains (I5).
   void Leave();
-  /// Shares an own item; see membership::View::Publish.
+  /// Publishes an item of this router; see membership::View::Publish.
   bool Publish(membership::ItemKind kind, const std::string& key,
                const std::string& value);
   /// Returns the members not known to be dead, this one included.
   std::vector<membership::Member> Present() const;
-  /// Returns whether \p id said that it leaves, or is known to be dead. Of an
-  /// instance never heard of, nothing is known.
+  /// Returns whether \p id announced that it leaves, or is known to be dead;
+  /// false for an unknown instance.
   bool IsDeparted(const std::string& id) const;
   /// Returns all members' items of \p kind.
   std::vector<membership::Item> Items(membership::ItemKind kind) const;
-  /// Returns whether this router is one of the \p count that watch
-  /// \p endpoint, and as which (0 first); \p count if it is none.
-  std::size_t ObserverRank(const std::string& endpoint, std::size_t count) const;
-  /// Returns the client, for configuration and answers of others.
+  /// Returns this router's rank, from 0, among the \p count observers of
+  /// \p endpoint; \p count if it isn't one of them.
+  std::size_t ObserverRank(const std::string& endpoint,
+                           std::size_t count) const;
+  /// Returns the client, to fetch configuration and answers from peers.
   peers::PeerClient& Client() { return *this->client; }
   /// Returns the counts since the start.
   Counters Counts() const { return this->counters; }
-  /// Returns the port that peers reach. Precondition: Start succeeded.
+  /// Returns the port that peers connect to. Precondition: Start succeeded.
   int Port() const { return this->server->Port(); }
 
  private:
@@ -92,9 +95,9 @@
   membership::Settings limits;
   membership::Membership members;
   Counters counters;
-  /// Tasks that outlive the exchange find it gone. Before `post`, which uses
-  /// it.
-  std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+  /// Expires with the exchange, so that tasks which outlive it do nothing.
+  /// Declared before `post`, which uses it.
+  std::shared_ptr<bool> lifetime = std::make_shared<bool>(true);
   peers::Post post;
   std::unique_ptr<peers::PeerClient> client;
   std::unique_ptr<peers::PeerServer> server;
--- a/include/toucanwharf/peers/client.h
+++ b/include/toucanwharf/peers/client.h
@@ -12,11 +12,11 @@
 
 namespace toucanwharf::peers {
 
-/// Runs a task on the thread that owns the daemon's state.
+/// Submits a task to the thread that owns the daemon's state.
 using Post = std::function<void(std::function<void()>)>;
 
-/// Calls other routers over gRPC. No call blocks; each callback runs by Post,
-/// exactly once, unless the client is gone by then.
+/// Calls other routers over gRPC. No call blocks; each completion callback runs
+/// exactly once, through Post, unless the client has been destroyed.
 /// Thread safety: none; all methods on the thread that Post posts to.
 class PeerClient {
  public:
@@ -24,22 +24,22 @@
   using OnBytes = std::function<void(const Result<std::string>&)>;
   using OnEnd = std::function<void(const Result<void>&)>;
 
-  /// Makes a client that seals with \p key.
+  /// Creates a client that seals its requests with \p key.
   /// Precondition: \p post outlives the client.
   PeerClient(Post post, std::string key);
   ~PeerClient();
   PeerClient(const PeerClient&) = delete;
   PeerClient& operator=(const PeerClient&) = delete;
 
-  /// Sends \p probe, directly or through the member at `probe.via`.
+  /// Sends \p probe, directly or, if set, through the member at `probe.via`.
   void Send(const membership::Probe& probe, Duration timeout, OnMessage done);
-  /// Asks the router at \p address for the configuration after generation
-  /// \p since. kNotFound if it can't serve from there.
+  /// Requests the configuration after generation \p since from the router at
+  /// \p address. Errors: kNotFound if it can't serve from that generation.
   void FetchConfig(const std::string& address, std::uint64_t since,
                    Duration timeout, OnBytes done);
-  /// Streams answer \p request of \p customer from token \p from on:
-  /// \p on_part for each part in order, then \p on_end once. An end without
-  /// error means that the other router ended the answer, whole.
+  /// Streams answer \p request of \p customer from token \p from on: calls
+  /// \p on_part for each part in order, then \p on_end once, which gets no
+  /// error only if the other router sent the complete answer.
   void GetAnswer(const std::string& address, const std::string& request,
                  std::uint64_t from, const std::string& customer,
                  Duration timeout, std::function<void(std::string)> on_part,
--- a/include/toucanwharf/peers/error.h
+++ b/include/toucanwharf/peers/error.h
@@ -5,7 +5,7 @@
 
 namespace toucanwharf::peers {
 
-/// Why a call to another router brought nothing.
+/// Why a call to another router failed.
 enum class Errc {
   kUnreachable = 1,
   kTimeout,
--- a/include/toucanwharf/peers/server.h
+++ b/include/toucanwharf/peers/server.h
@@ -13,24 +13,26 @@
 
 namespace toucanwharf::peers {
 
-/// Where the parts of a resumed answer go. Both functions may be called from
+/// Receives the parts of a resumed answer. Both functions may be called from
 /// several threads, also after the call has ended.
 struct AnswerSink {
-  /// Sends the next part. False once the other router has gone or is too slow.
+  /// Sends the next part. Returns false once the other router has disconnected
+  /// or is too slow.
   std::function<bool(std::string part)> write;
-  /// Ends the answer; whole if \p complete.
+  /// Ends the answer; \p complete tells the other router whether it is whole.
   std::function<void(bool complete)> end;
 };
 
-/// What a router answers to others. All are run by Post.
+/// Handlers of the requests of other routers. All run through Post.
 struct Handlers {
-  /// Takes a probe in and returns the answer.
+  /// Processes a probe and returns the answer.
   std::function<membership::Message(const membership::Message&)> probe;
-  /// Passes a probe on to an address; the callback gets the answer.
+  /// Forwards a probe to an address; the callback gets the answer.
   std::function<void(const std::string& address, const membership::Message&,
                      PeerClient::OnMessage)>
       pass_on;
-  /// Returns the configuration after a generation, or nothing if it can't.
+  /// Returns the configuration after a generation; nothing if that generation
+  /// can't be served.
   std::function<std::optional<std::string>(std::uint64_t since)> config;
   /// Streams the answer \p request of \p customer from token \p from on.
   std::function<void(const std::string& request, std::uint64_t from,
@@ -38,12 +40,13 @@
       answer;
 };
 
-/// Serves other routers over gRPC, on threads of its own that only hand over.
+/// Serves other routers over gRPC. Its own threads only check seals and post
+/// the requests.
 /// Thread safety: construct and Stop on one thread.
 class PeerServer {
  public:
-  /// Listens on \p address ("ip:port"); port 0 chooses one. Requests whose
-  /// seal isn't of \p key are refused before a handler sees them.
+  /// Listens on \p address ("ip:port"); port 0 chooses one. Requests not sealed
+  /// with \p key are rejected before they reach a handler.
   static Result<std::unique_ptr<PeerServer>> Start(const std::string& address,
                                                    std::string key, Post post,
                                                    Handlers handlers);
@@ -53,8 +56,8 @@
 
   /// Returns the port that is listened on. Thread safety: safe.
   int Port() const;
-  /// Ends calls in progress and stops listening. May be called on the thread
-  /// that Post posts to: it waits for none of the handlers.
+  /// Ends calls in progress and stops listening. Doesn't wait for handlers, so
+  /// it may be called on the thread that Post posts to.
   void Stop();
 
   class Impl;
--- a/include/toucanwharf/schema/schema.h
+++ b/include/toucanwharf/schema/schema.h
@@ -8,19 +8,19 @@
 #include <string_view>
 #include <vector>
 
-/// Documents that people write, checked against JSON Schema so that every
-/// mistake is told at once.
+/// Checks documents that people write against JSON Schema and reports all
+/// problems together.
 namespace toucanwharf::schema {
 
-/// One mistake in a document.
+/// One problem of a document.
 struct Problem {
-  /// JSON pointer (RFC 6901) to the place; empty for the whole document.
+  /// JSON pointer (RFC 6901) to the value; empty for the whole document.
   std::string pointer;
-  /// What stands there, shortened; "nothing" when it is absent.
+  /// The value found, shortened; "nothing" if it is absent.
   std::string found;
-  /// What may stand there.
+  /// The values allowed.
   std::string allowed;
-  /// What to do about it.
+  /// How to correct the problem.
   std::string remedy;
 
   friend bool operator==(const Problem&, const Problem&) = default;
@@ -28,34 +28,34 @@
 
 using Problems = std::vector<Problem>;
 
-/// A value, or every problem of the document that it was to come from.
+/// A value, or all problems of the document that it is read from.
 template <typename T>
 using Checked = BOOST_OUTCOME_V2_NAMESPACE::basic_result<
     T, Problems, BOOST_OUTCOME_V2_NAMESPACE::policy::all_narrow>;
 
-/// Bytes that a document may have.
+/// Largest document, in bytes.
 inline constexpr std::size_t kMaxDocumentBytes = 1048576;
-/// Levels of arrays and objects that a document may have.
+/// Most nested levels of arrays and objects in a document.
 inline constexpr int kMaxDepth = 16;
-/// Bytes that one string of a document may have.
+/// Largest string in a document, in bytes.
 inline constexpr std::size_t kMaxStringBytes = 1024;
 
-/// Reads \p text as JSON. Any bytes are allowed; what is no JSON, too long or
-/// too deep is a problem.
+/// Parses \p text as JSON. Any bytes are allowed; text that is not JSON, too
+/// long or too deeply nested is a problem.
 /// Thread safety: safe.
 Checked<nlohmann::json> ParseJson(std::string_view text);
 
 /// Checks \p document against the JSON Schema \p schema and returns every
-/// problem, sorted by place; empty when the document is right. `allowed` is the
-/// `description` that the schema gives the place.
+/// problem, sorted by pointer; empty if the document is valid. `allowed` is the
+/// `description` in the schema.
 /// Preconditions: \p schema is a valid schema of the subset that this project
-/// uses (nested `properties` and `items`); \p document came from ParseJson or
-/// is as small and shallow.
+/// uses (nested `properties` and `items`); \p document is a result of
+/// ParseJson or within the same limits.
 /// Thread safety: safe.
 Problems CheckDocument(const nlohmann::json& schema,
                        const nlohmann::json& document);
 
-/// Returns \p problem on one line: place, found, allowed, remedy.
+/// Returns \p problem as one line: pointer, found, allowed, remedy.
 /// Thread safety: safe.
 std::string ToText(const Problem& problem);
 
--- a/include/toucanwharf/support/clock.h
+++ b/include/toucanwharf/support/clock.h
@@ -8,11 +8,11 @@
 
 namespace toucanwharf {
 
-/// Length of time; all of the core counts in microseconds.
+/// Length of time. The whole core uses microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A point on one process's own steady time scale. Points of two processes
-/// are never compared with each other.
+/// A point on the steady clock of one process. Points of different processes
+/// can't be compared.
 struct TimePoint {
   Duration since_start{0};
 
@@ -25,40 +25,40 @@
   friend TimePoint operator-(TimePoint point, Duration length) {
     return TimePoint{point.since_start - length};
   }
-  friend Duration operator-(TimePoint late, TimePoint early) {
-    return late.since_start - early.since_start;
+  friend Duration operator-(TimePoint end, TimePoint start) {
+    return end.since_start - start.since_start;
   }
 };
 
-/// What the core asks of a source of time. The core mostly takes a TimePoint
-/// as argument; only what waits or schedules takes a clock.
+/// A source of time. Most of the core takes a TimePoint as argument; only code
+/// that waits or schedules takes a clock.
 template <typename T>
 concept Clock = requires(const T& clock) {
   { clock.Now() } -> std::same_as<TimePoint>;
 };
 
-/// Steady time that goes on while the machine is suspended (CLOCK_BOOTTIME).
-/// A lease measured on a clock that stops in a pause would seem valid after
-/// it.
-/// Thread safety: all methods may be called at once from several threads.
+/// Steady clock that advances while the machine is suspended (CLOCK_BOOTTIME).
+/// A lease measured on a clock that stops during suspension would seem valid
+/// after it has expired.
+/// Thread safety: safe.
 class BootClock {
  public:
   /// Returns the time since the machine started.
   TimePoint Now() const;
 };
 
-/// Returns wall clock time in milliseconds since 1970. Only for what people
-/// read and for the time part of ids; no decision compares wall clocks.
+/// Returns wall clock time in milliseconds since 1970. Only for output to
+/// people and the time part of ids; no decision compares wall clocks.
 /// Thread safety: safe.
 std::uint64_t WallMillis();
 
-/// A clock that stands still until a test moves it.
+/// A clock that advances only when a test sets it forward.
 /// Thread safety: none; for one thread.
 class ManualClock {
  public:
-  /// Returns the time that was last set.
+  /// Returns the current manual time.
   TimePoint Now() const { return this->now; }
-  /// Moves time on by \p length. Precondition: length >= 0.
+  /// Advances the time by \p length. Precondition: length >= 0.
   void Advance(Duration length) { this->now = this->now + length; }
 
  private:
--- a/include/toucanwharf/support/deflate.h
+++ b/include/toucanwharf/support/deflate.h
@@ -8,13 +8,14 @@
 
 namespace toucanwharf {
 
-/// Returns \p text in fewer bytes, in zlib's format (RFC 1950).
+/// Returns \p text compressed in zlib format (RFC 1950).
 /// Thread safety: safe.
 std::string Deflate(std::string_view text);
 
-/// The way back; nothing if \p bytes are not whole or hold a text of more than
-/// \p most bytes. Thread safety: safe.
-std::optional<std::string> Inflate(std::string_view bytes, std::size_t most);
+/// Decompresses \p bytes; returns nothing if they are corrupt or truncated, or
+/// the text has more than \p max_bytes bytes. Thread safety: safe.
+std::optional<std::string> Inflate(std::string_view bytes,
+                                   std::size_t max_bytes);
 
 }  // namespace toucanwharf
 
--- a/include/toucanwharf/support/json.h
+++ b/include/toucanwharf/support/json.h
@@ -6,21 +6,21 @@
 #include <optional>
 #include <string>
 
-/// Members of JSON that came from outside and may be of any type.
+/// Access to members of untrusted JSON, which may have any type.
 namespace toucanwharf {
 
-/// Returns the string \p name of \p object; empty if it is absent or of
+/// Returns the string member \p name of \p object; empty if it is absent or of
 /// another type, or \p object is no object.
 /// Thread safety: safe.
 std::string TextMember(const nlohmann::json& object, const char* name);
 
-/// Returns the whole number \p name of \p object; nothing if it is absent,
+/// Returns the integer member \p name of \p object; nothing if it is absent,
 /// negative or of another type, or \p object is no object.
 /// Thread safety: safe.
 std::optional<std::uint64_t> CountMember(const nlohmann::json& object,
                                          const char* name);
 
-/// CountMember, or 0 for nothing. Thread safety: safe.
+/// Returns CountMember, or 0 if it has no value. Thread safety: safe.
 std::uint64_t CountMemberOrZero(const nlohmann::json& object, const char* name);
 
 }  // namespace toucanwharf
--- a/include/toucanwharf/support/random.h
+++ b/include/toucanwharf/support/random.h
@@ -7,7 +7,8 @@
 
 namespace toucanwharf {
 
-/// Returns the next word of the SplitMix64 sequence whose state is \p state.
+/// Returns the next word of the SplitMix64 sequence with state \p state.
+/// Thread safety: safe.
 constexpr std::uint64_t MixBits(std::uint64_t state) {
   std::uint64_t word = state + 0x9e3779b97f4a7c15ULL;
   word = (word ^ (word >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -16,7 +17,7 @@
 }
 
 /// Returns a hash of \p text that is the same in every process and build. Not
-/// for secrets. Thread safety: safe.
+/// cryptographic. Thread safety: safe.
 constexpr std::uint64_t HashText(std::string_view text) {
   std::uint64_t hash = 0;
   for (const char byte : text) {
@@ -25,8 +26,8 @@
   return hash;
 }
 
-/// Small seeded generator, the same sequence on every machine. Satisfies
-/// UniformRandomBitGenerator. Not for secrets.
+/// Seeded pseudorandom generator with the same sequence on every machine.
+/// Satisfies UniformRandomBitGenerator. Not cryptographic.
 /// Thread safety: none; one generator per thread.
 class Random {
  public:
@@ -47,11 +48,11 @@
     return word;
   }
 
-  /// Returns a number from 0 up to but not including \p bound.
+  /// Returns a number in [0, \p bound).
   /// Precondition: bound > 0.
   std::uint64_t Below(std::uint64_t bound) { return (*this)() % bound; }
 
-  /// Returns a number from 0 up to but not including 1.
+  /// Returns a number in [0, 1).
   double Unit() {
     constexpr double kScale = 1.0 / 9007199254740992.0;
     return static_cast<double>((*this)() >> 11) * kScale;
--- a/include/toucanwharf/support/result.h
+++ b/include/toucanwharf/support/result.h
@@ -7,10 +7,10 @@
 
 namespace toucanwharf {
 
-/// A value or the `std::error_code` that says why there is none.
+/// A value, or the `std::error_code` of the failure.
 ///
-/// Errors travel as codes so that no function of the core throws. Each library
-/// has one error category; the message of each code names the remedy.
+/// Errors are returned as codes, so that no function of the core throws. Each
+/// library has one error category; the message of each code names the remedy.
 template <typename T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::std_result<T>;
 
--- a/lib/eventlog/explain.cc
+++ b/lib/eventlog/explain.cc
@@ -13,7 +13,8 @@
 
 using Json = nlohmann::json;
 
-/// What each reason of a try's or a request's end means, and what to look at.
+/// Explanation of each reason that an attempt or a request ended, and the log
+/// lines to check.
 constexpr std::array<std::pair<std::string_view, std::string_view>, 18>
     kCauses = {{
         {"no_configuration",
@@ -64,11 +65,11 @@
   const std::size_t brace = line.find('{');
   if (brace == std::string_view::npos) return std::nullopt;
   const Json json = Json::parse(line.substr(brace), nullptr, false);
-  const auto at = CountMember(json, "at");
+  const auto time_ms = CountMember(json, "at");
   LogEntry entry;
   entry.event = TextMember(json, "event");
-  if (!at || entry.event.empty()) return std::nullopt;
-  entry.at = *at;
+  if (!time_ms || entry.event.empty()) return std::nullopt;
+  entry.time_ms = *time_ms;
   entry.instance = TextMember(json, "instance");
   entry.request = TextMember(json, "request");
   entry.why = TextMember(json, "why");
@@ -77,26 +78,31 @@
 }
 
 Explanation Explain(std::vector<LogEntry> entries, const std::string& id) {
-  std::stable_sort(
-      entries.begin(), entries.end(),
-      [](const LogEntry& one, const LogEntry& two) { return one.at < two.at; });
+  std::stable_sort(entries.begin(), entries.end(),
+                   [](const LogEntry& lhs, const LogEntry& rhs) {
+                     return lhs.time_ms < rhs.time_ms;
+                   });
   Explanation explanation;
   for (const LogEntry& entry : entries) {
     if (entry.request == id) explanation.steps.push_back(entry);
   }
   if (explanation.steps.empty()) return explanation;
   const LogEntry& last = explanation.steps.back();
-  std::map<std::string, LogEntry> newest;
+  std::map<std::string, LogEntry> latest_changes;
   for (const LogEntry& entry : entries) {
     if (!entry.request.empty() || entry.instance != last.instance) continue;
-    if (entry.at <= last.at) newest.insert_or_assign(entry.event, entry);
+    if (entry.time_ms <= last.time_ms) {
+      latest_changes.insert_or_assign(entry.event, entry);
+    }
   }
-  for (const auto& [event, entry] : newest) {
+  for (const auto& [event, entry] : latest_changes) {
     explanation.state_changes.push_back(entry);
   }
-  std::stable_sort(
-      explanation.state_changes.begin(), explanation.state_changes.end(),
-      [](const LogEntry& one, const LogEntry& two) { return one.at < two.at; });
+  std::stable_sort(explanation.state_changes.begin(),
+                   explanation.state_changes.end(),
+                   [](const LogEntry& lhs, const LogEntry& rhs) {
+                     return lhs.time_ms < rhs.time_ms;
+                   });
   std::string why;
   for (const LogEntry& step : explanation.steps) {
     if (!step.why.empty()) why = step.why;
--- a/lib/eventlog/logger.cc
+++ b/lib/eventlog/logger.cc
@@ -11,8 +11,9 @@
 namespace toucanwharf::eventlog {
 namespace {
 
-/// A pipe that poll calls writable takes this much without blocking (POSIX).
-constexpr std::size_t kSafeWrite = 4096;
+/// A pipe that poll reports as writable accepts this much without blocking
+/// (POSIX).
+constexpr std::size_t kMaxAtomicWrite = 4096;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr std::int64_t kMicrosPerMilli = 1000;
 
@@ -56,38 +57,44 @@
   return this->Count(name, value.count() / kMicrosPerMilli);
 }
 
-Logger::Logger(int to, std::string name, const LoggerSettings& chosen)
-    : descriptor(to), instance(std::move(name)), settings(chosen) {
-  this->routine.per_second = chosen.routine_per_second;
-  this->notable.per_second = chosen.notable_per_second;
-  this->routine.tokens = chosen.routine_per_second * chosen.burst_seconds;
-  this->notable.tokens = chosen.notable_per_second * chosen.burst_seconds;
+Logger::Logger(int output, std::string instance_id,
+               const LoggerSettings& logger_settings)
+    : descriptor(output),
+      instance(std::move(instance_id)),
+      settings(logger_settings) {
+  this->routine.per_second = logger_settings.routine_per_second;
+  this->notable.per_second = logger_settings.notable_per_second;
+  this->routine.tokens =
+      logger_settings.routine_per_second * logger_settings.burst_seconds;
+  this->notable.tokens =
+      logger_settings.notable_per_second * logger_settings.burst_seconds;
 }
 
-bool Logger::Take(Allowance& from, TimePoint now) const {
+bool Logger::TakeToken(TokenBucket& bucket, TimePoint now) const {
   const double seconds =
-      static_cast<double>((now - from.filled).count()) / kMicrosPerSecond;
-  from.filled = now;
-  from.tokens = std::min(from.tokens + seconds * from.per_second,
-                         from.per_second * this->settings.burst_seconds);
-  if (from.tokens < 1) return false;
-  from.tokens -= 1;
+      static_cast<double>((now - bucket.refilled_at).count()) /
+      kMicrosPerSecond;
+  bucket.refilled_at = now;
+  bucket.tokens = std::min(bucket.tokens + seconds * bucket.per_second,
+                           bucket.per_second * this->settings.burst_seconds);
+  if (bucket.tokens < 1) return false;
+  bucket.tokens -= 1;
   return true;
 }
 
 void Logger::Write(Level level, std::string_view event, const Fields& fields,
                    TimePoint now) {
-  Allowance& allowance =
+  TokenBucket& bucket =
       level == Level::kRoutine ? this->routine : this->notable;
-  const bool full = this->buffer.size() >= this->settings.most_buffered;
-  if (full || !this->Take(allowance, now)) {
+  const bool full = this->buffer.size() >= this->settings.max_buffered_bytes;
+  if (full || !this->TakeToken(bucket, now)) {
     ++this->dropped;
     return;
   }
-  if (this->dropped != this->dropped_told) {
+  if (this->dropped != this->dropped_reported) {
     const auto lines =
-        static_cast<std::int64_t>(this->dropped - this->dropped_told);
-    this->dropped_told = this->dropped;
+        static_cast<std::int64_t>(this->dropped - this->dropped_reported);
+    this->dropped_reported = this->dropped;
     this->Append("lines_dropped", Fields().Count("lines", lines));
   }
   this->Append(event, fields);
@@ -106,7 +113,7 @@
     pollfd ready{this->descriptor, POLLOUT, 0};
     if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) break;
     const std::size_t size =
-        std::min(kSafeWrite, this->buffer.size() - written);
+        std::min(kMaxAtomicWrite, this->buffer.size() - written);
     const ssize_t sent =
         write(this->descriptor, this->buffer.data() + written, size);
     if (sent <= 0) break;
--- a/lib/exchange/peer_exchange.cc
+++ b/lib/exchange/peer_exchange.cc
@@ -9,30 +9,30 @@
 namespace toucanwharf::exchange {
 namespace {
 
-/// Ticks in a period: an unanswered probe is noticed at most a fifth of a
+/// Ticks per probe period: a probe timeout is detected at most a fifth of a
 /// period late.
 constexpr int kTicksPerPeriod = 5;
 
-membership::Member OwnEntry(const settings::Settings& settings) {
-  membership::Member own;
-  own.id = settings.instance;
-  own.address = settings.advertise.peers;
-  own.failure_domain = settings.failure_domain;
-  // Above any incarnation of an earlier life of this id, so that others take
-  // the new process's word at once.
-  own.incarnation = WallMillis();
-  return own;
+membership::Member LocalMember(const settings::Settings& settings) {
+  membership::Member member;
+  member.id = settings.instance;
+  member.address = settings.advertise.peers;
+  member.failure_domain = settings.failure_domain;
+  // Above every incarnation of earlier processes with this id, so that others
+  // accept the state of the new process immediately.
+  member.incarnation = WallMillis();
+  return member;
 }
 
-Random SeedOf(const settings::Settings& settings) {
+Random MakeRandom(const settings::Settings& settings) {
   std::uint64_t state = WallMillis();
-  for (const char letter : settings.instance) {
-    state = MixBits(state ^ static_cast<unsigned char>(letter));
+  for (const char byte : settings.instance) {
+    state = MixBits(state ^ static_cast<unsigned char>(byte));
   }
   return Random(state);
 }
 
-std::uint64_t SizeOf(const membership::Message& message) {
+std::uint64_t EncodedSizeOf(const membership::Message& message) {
   std::uint64_t size = membership::EncodedSize(message.sender);
   for (const auto& member : message.members) {
     size += membership::EncodedSize(member);
@@ -45,15 +45,16 @@
 
 PeerExchange::PeerExchange(transport::EventLoop& event_loop,
                            const settings::Settings& router_settings,
-                           PeerCallbacks answered)
+                           PeerCallbacks peer_callbacks)
     : loop(event_loop),
       settings(router_settings),
-      callbacks(std::move(answered)),
-      members(limits, OwnEntry(router_settings), SeedOf(router_settings)),
-      post([&event_loop, guard = std::weak_ptr<bool>(this->alive)](
+      callbacks(std::move(peer_callbacks)),
+      members(limits, LocalMember(router_settings),
+              MakeRandom(router_settings)),
+      post([&event_loop, lifetime = std::weak_ptr<bool>(this->lifetime)](
                std::function<void()> task) {
-        event_loop.Post([guard, task = std::move(task)] {
-          if (!guard.expired()) task();
+        event_loop.Post([lifetime, task = std::move(task)] {
+          if (!lifetime.expired()) task();
         });
       }) {}
 
@@ -99,7 +100,7 @@
 
 void PeerExchange::Send(const membership::Probe& probe) {
   ++this->counters.probes_sent;
-  this->counters.bytes_sent += SizeOf(probe.message);
+  this->counters.bytes_sent += EncodedSizeOf(probe.message);
   this->client->Send(
       probe, this->limits.period,
       [this, id = probe.id](const Result<membership::Message>& answer) {
@@ -107,30 +108,29 @@
           ++this->counters.probes_failed;
           return;
         }
-        this->counters.bytes_received += SizeOf(answer.value());
+        this->counters.bytes_received += EncodedSizeOf(answer.value());
         this->members.OnAnswer(id, answer.value(), this->loop.Now());
       });
 }
 
 membership::Message PeerExchange::Answer(const membership::Message& message) {
   ++this->counters.probes_received;
-  this->counters.bytes_received += SizeOf(message);
+  this->counters.bytes_received += EncodedSizeOf(message);
   membership::Message answer = this->members.OnProbe(message, this->loop.Now());
-  this->counters.bytes_sent += SizeOf(answer);
+  this->counters.bytes_sent += EncodedSizeOf(answer);
   return answer;
 }
 
 void PeerExchange::PassOn(const std::string& address,
                           const membership::Message& message,
                           peers::PeerClient::OnMessage done) {
-  // Only to addresses of known members: a router passes nothing on to
-  // strangers.
+  // Forward only to addresses of known members, never to arbitrary addresses.
   const std::vector<membership::Member> present = this->members.Present();
   const bool known = std::any_of(
       present.begin(), present.end(),
       [&address](const auto& member) { return member.address == address; });
   if (!known) return done(std::make_error_code(std::errc::host_unreachable));
-  this->counters.bytes_sent += SizeOf(message);
+  this->counters.bytes_sent += EncodedSizeOf(message);
   this->client->Send(membership::Probe{0, address, "", message},
                      this->limits.probe_timeout, std::move(done));
 }
@@ -162,13 +162,13 @@
 }
 
 std::size_t PeerExchange::ObserverRank(const std::string& endpoint,
-                                     std::size_t count) const {
-  const auto watchers =
+                                       std::size_t count) const {
+  const auto observers =
       membership::WatchersOf(endpoint, this->members.Present(), count);
-  const auto mine =
-      std::find(watchers.begin(), watchers.end(), this->settings.instance);
-  if (mine == watchers.end()) return count;
-  return static_cast<std::size_t>(mine - watchers.begin());
+  const auto self =
+      std::find(observers.begin(), observers.end(), this->settings.instance);
+  if (self == observers.end()) return count;
+  return static_cast<std::size_t>(self - observers.begin());
 }
 
 }  // namespace toucanwharf::exchange
--- a/lib/peers/callback_queue.cc
+++ b/lib/peers/callback_queue.cc
@@ -10,11 +10,11 @@
 namespace toucanwharf::peers {
 namespace {
 
-/// A channel that has made a callback call is a user of the queue for as long
-/// as it lives. The call's time is over before it begins, so nothing is
-/// connected.
-struct Keeper {
-  Keeper()
+/// A channel that has made a callback call keeps a reference to the queue for
+/// its lifetime. The call's deadline has passed before it starts, so it opens
+/// no connection.
+struct QueueReference {
+  QueueReference()
       : stub(wire::Peer::NewStub(grpc::CreateChannel(
             "ipv4:127.0.0.1:9", grpc::InsecureChannelCredentials()))) {
     this->context.set_deadline(std::chrono::system_clock::time_point());
@@ -31,9 +31,9 @@
 }  // namespace
 
 void KeepCallbackQueue() {
-  // Never destroyed: its end would be the teardown that it prevents.
-  static const Keeper* const kKeeper = new Keeper;
-  static_cast<void>(kKeeper);
+  // Never destroyed: that would cause the teardown that it prevents.
+  static const QueueReference* const kReference = new QueueReference;
+  static_cast<void>(kReference);
 }
 
 }  // namespace toucanwharf::peers
--- a/lib/peers/callback_queue.h
+++ b/lib/peers/callback_queue.h
@@ -3,13 +3,13 @@
 
 namespace toucanwharf::peers {
 
-/// Keeps the queue on which gRPC runs callbacks in use until the process ends.
+/// Holds a reference to gRPC's callback queue until the process ends.
 ///
-/// Failure guarded against: gRPC 1.51 counts the users of that queue and tears
-/// it down with the last client or server of the process, where its thread
-/// drops the queue once too often: "ref_counted.h: assertion failed: prior >
-/// 0", and the process aborts. With one user that never goes away it isn't torn
-/// down. Thread safety: safe; costs something at the first call only.
+/// Guards against an abort of the process: gRPC 1.51 counts references to that
+/// queue and tears it down with the last client or server of the process, where
+/// its thread releases the queue once too often: "ref_counted.h: assertion
+/// failed: prior > 0". A reference that is never released prevents the
+/// teardown. Thread safety: safe; only the first call does any work.
 void KeepCallbackQueue();
 
 }  // namespace toucanwharf::peers
--- a/lib/peers/client.cc
+++ b/lib/peers/client.cc
@@ -17,30 +17,30 @@
 namespace toucanwharf::peers {
 namespace {
 
-/// Connections kept open. Probes go round all members; with 420 of them each
-/// connection would be used once in 210 s, and its buffers count against the
-/// memory that control may use.
-constexpr std::size_t kMostChannels = 16;
+/// Connections kept open. Probes cycle through all members; with 420 of them,
+/// each connection would be used once in 210 s, and its buffers count against
+/// the memory budget of the control plane.
+constexpr std::size_t kMaxChannels = 16;
 constexpr int kReconnectMillis = 250;
-/// Largest answer: a snapshot of the configuration at the target's size.
-constexpr int kMostBytes = 8 * 1024 * 1024;
+/// Largest answer: a configuration snapshot of the largest supported size.
+constexpr int kMaxMessageBytes = 8 * 1024 * 1024;
 
 std::shared_ptr<grpc::Channel> OpenChannel(const std::string& address) {
   grpc::ChannelArguments arguments;
-  // Without these gRPC would wait up to two minutes before it tries again a
-  // router that was restarted, share connections behind our back, and ask a
-  // proxy named by the environment.
+  // By default gRPC would wait up to two minutes before it reconnects to a
+  // restarted router, share connections between channels, and use a proxy set
+  // in the environment.
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kReconnectMillis);
   arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kReconnectMillis);
   arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
   arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
-  arguments.SetMaxReceiveMessageSize(kMostBytes);
+  arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
   const std::string scheme = address.starts_with('[') ? "ipv6:" : "ipv4:";
   return grpc::CreateCustomChannel(
       scheme + address, grpc::InsecureChannelCredentials(), arguments);
 }
 
-std::error_code CodeOf(const grpc::Status& status) {
+std::error_code ToErrorCode(const grpc::Status& status) {
   switch (status.error_code()) {
     case grpc::StatusCode::DEADLINE_EXCEEDED:
       return Errc::kTimeout;
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-/// Holds the connections. Used on the owner's thread only.
+/// Owns the connections. Thread safety: none; on the owner's thread only.
 class PeerClient::Impl {
  public:
   Impl(Post post_task, std::string shared_key)
@@ -70,27 +70,27 @@
   }
 
   std::unique_ptr<wire::Peer::Stub> StubFor(const std::string& address) {
-    const auto found = this->places.find(address);
-    if (found != this->places.end()) {
+    const auto found = this->positions.find(address);
+    if (found != this->positions.end()) {
       this->channels.splice(this->channels.begin(), this->channels,
                             found->second);
       return wire::Peer::NewStub(found->second->second);
     }
     this->channels.emplace_front(address, OpenChannel(address));
-    this->places[address] = this->channels.begin();
+    this->positions[address] = this->channels.begin();
     auto stub = wire::Peer::NewStub(this->channels.front().second);
-    if (this->channels.size() > kMostChannels) {
-      this->places.erase(this->channels.back().first);
+    if (this->channels.size() > kMaxChannels) {
+      this->positions.erase(this->channels.back().first);
       this->channels.pop_back();
     }
     return stub;
   }
 
-  void Forget(const std::string& address) {
-    const auto found = this->places.find(address);
-    if (found == this->places.end()) return;
+  void CloseChannel(const std::string& address) {
+    const auto found = this->positions.find(address);
+    if (found == this->positions.end()) return;
     this->channels.erase(found->second);
-    this->places.erase(found);
+    this->positions.erase(found);
   }
 
   wire::Envelope Sealed(const char* call, std::string body) const {
@@ -107,12 +107,12 @@
   using Channel = std::pair<std::string, std::shared_ptr<grpc::Channel>>;
 
   std::list<Channel> channels;
-  std::map<std::string, std::list<Channel>::iterator> places;
+  std::map<std::string, std::list<Channel>::iterator> positions;
 };
 
 namespace {
 
-/// One call with one answer; lives until gRPC's callback has run.
+/// A call with a single answer; lives until gRPC's callback has run.
 struct UnaryCall {
   std::unique_ptr<wire::Peer::Stub> stub;
   grpc::ClientContext context;
@@ -124,7 +124,7 @@
     grpc::ClientContext*, const wire::Envelope*, wire::Envelope*,
     std::function<void(grpc::Status)>);
 
-// Each call has overloads; these name the ones with a callback.
+// Each method has overloads; these constants select those with a callback.
 constexpr Method kProbe = &wire::Peer::Stub::async::Probe;
 constexpr Method kPassOnProbe = &wire::Peer::Stub::async::PassOnProbe;
 constexpr Method kFetchConfig = &wire::Peer::Stub::async::FetchConfig;
@@ -138,17 +138,17 @@
   call->context.set_deadline(Deadline(timeout));
   const std::weak_ptr<PeerClient::Impl> owner = impl;
   const auto finish = [call, owner, address, done](const grpc::Status& status) {
-    const auto alive = owner.lock();
-    if (alive == nullptr) return;
+    const auto client = owner.lock();
+    if (client == nullptr) return;
     if (!status.ok()) {
-      // The connection may have gone silent while new ones work: the next
-      // call gets a fresh one.
-      alive->Forget(address);
-      done(CodeOf(status));
+      // This connection may be unresponsive while new ones would work: the next
+      // call opens a new one.
+      client->CloseChannel(address);
+      done(ToErrorCode(status));
       return;
     }
     const std::string seal =
-        SealAnswer(alive->key, call->request.seal(), 0, call->reply.body());
+        SealAnswer(client->key, call->request.seal(), 0, call->reply.body());
     if (!SameSeal(seal, call->reply.seal())) {
       done(make_error_code(Errc::kWrongKey));
       return;
@@ -162,7 +162,7 @@
                                  });
 }
 
-/// A streamed answer on its way in; deletes itself after OnDone.
+/// Receives a streamed answer; deletes itself in OnDone.
 class AnswerReader : public grpc::ClientReadReactor<wire::Envelope> {
  public:
   AnswerReader(const std::shared_ptr<PeerClient::Impl>& impl,
@@ -187,7 +187,7 @@
     const std::string seal = SealAnswer(this->key, this->request.seal(),
                                         this->parts++, this->reply.body());
     if (!SameSeal(seal, this->reply.seal())) {
-      this->forged = true;
+      this->wrong_seal = true;
       this->context.TryCancel();
       return;
     }
@@ -201,10 +201,10 @@
 
   void OnDone(const grpc::Status& status) override {
     Result<void> result = Success();
-    if (this->forged) {
+    if (this->wrong_seal) {
       result = make_error_code(Errc::kWrongKey);
     } else if (!status.ok()) {
-      result = CodeOf(status);
+      result = ToErrorCode(status);
     }
     this->Deliver([handler = this->on_end, result] { handler(result); });
     delete this;
@@ -212,8 +212,8 @@
 
  private:
   void Deliver(std::function<void()> task) {
-    this->post([client = this->owner, task = std::move(task)] {
-      if (!client.expired()) task();
+    this->post([weak_client = this->owner, task = std::move(task)] {
+      if (!weak_client.expired()) task();
     });
   }
 
@@ -225,7 +225,7 @@
   wire::Envelope request;
   wire::Envelope reply;
   std::uint64_t parts = 0;
-  bool forged = false;
+  bool wrong_seal = false;
   std::function<void(std::string)> on_part;
   PeerClient::OnEnd on_end;
 };
@@ -286,7 +286,7 @@
   body.set_request(request);
   body.set_from(from);
   body.set_customer(customer);
-  // Deletes itself once gRPC is done with it.
+  // Deletes itself in OnDone.
   new AnswerReader(this->impl, address,
                    this->impl->Sealed(kAnswerCall, body.SerializeAsString()),
                    timeout, std::move(on_part), std::move(on_end));
--- a/lib/peers/seal.cc
+++ b/lib/peers/seal.cc
@@ -18,7 +18,8 @@
   return {reinterpret_cast<const char*>(digest.data()), length};
 }
 
-/// Joins parts so that no two lists of parts give the same text.
+/// Appends \p part with its length, so that different lists of parts never
+/// give the same text.
 void Append(std::string& text, std::string_view part) {
   text += std::to_string(part.size());
   text += ':';
--- a/lib/peers/server.cc
+++ b/lib/peers/server.cc
@@ -17,29 +17,31 @@
 namespace toucanwharf::peers {
 namespace {
 
-/// Parts that wait for a slow receiver; it can resume again from its last.
-constexpr std::size_t kMostWaitingParts = 4096;
-/// Largest message: a snapshot of the configuration at the target's size.
-constexpr int kMostBytes = 8 * 1024 * 1024;
+/// Parts queued for a slow receiver, which can resume from its last part.
+constexpr std::size_t kMaxQueuedParts = 4096;
+/// Largest message: a configuration snapshot of the largest supported size.
+constexpr int kMaxMessageBytes = 8 * 1024 * 1024;
 
 grpc::Status Malformed() {
   return {grpc::StatusCode::INVALID_ARGUMENT, "malformed"};
 }
 
-/// Streams one answer out; lives until gRPC is done and the handler let go.
+/// Sends one streamed answer; lives until gRPC has called OnDone and the
+/// handler has released it.
 class AnswerWriter final : public grpc::ServerWriteReactor<wire::Envelope>,
                            public std::enable_shared_from_this<AnswerWriter> {
  public:
   AnswerWriter(std::string shared_key, std::string seal)
       : key(std::move(shared_key)), request_seal(std::move(seal)) {}
 
-  /// Keeps this object until OnDone. To be called once, at the start.
-  void Hold() { this->held = this->shared_from_this(); }
+  /// Keeps this object alive until OnDone. Precondition: called once, at the
+  /// start.
+  void KeepAliveUntilDone() { this->self = this->shared_from_this(); }
 
   bool Write(std::string part) {
     const std::lock_guard lock(this->mutex);
     if (this->finished) return false;
-    if (this->waiting.size() >= kMostWaitingParts) {
+    if (this->queued.size() >= kMaxQueuedParts) {
       this->FinishNow({grpc::StatusCode::RESOURCE_EXHAUSTED, "too slow"});
       return false;
     }
@@ -49,7 +51,7 @@
     envelope.set_body(body.SerializeAsString());
     envelope.set_seal(SealAnswer(this->key, this->request_seal, this->parts++,
                                  envelope.body()));
-    this->waiting.push_back(std::move(envelope));
+    this->queued.push_back(std::move(envelope));
     this->SendNext();
     return true;
   }
@@ -71,7 +73,7 @@
   void OnWriteDone(bool sent) override {
     const std::lock_guard lock(this->mutex);
     this->writing = false;
-    this->waiting.pop_front();
+    this->queued.pop_front();
     if (!sent) {
       this->FinishNow({grpc::StatusCode::UNAVAILABLE, "gone"});
       return;
@@ -85,15 +87,15 @@
   }
 
   void OnDone() override {
-    const std::shared_ptr<AnswerWriter> last = std::move(this->held);
+    const std::shared_ptr<AnswerWriter> last = std::move(this->self);
   }
 
  private:
   void SendNext() {
     if (this->finished || this->writing) return;
-    if (!this->waiting.empty()) {
+    if (!this->queued.empty()) {
       this->writing = true;
-      this->StartWrite(&this->waiting.front());
+      this->StartWrite(&this->queued.front());
       return;
     }
     if (this->ending) this->FinishNow(*this->ending);
@@ -108,25 +110,26 @@
   std::string key;
   std::string request_seal;
   std::mutex mutex;
-  std::deque<wire::Envelope> waiting;
+  std::deque<wire::Envelope> queued;
   std::uint64_t parts = 0;
   bool writing = false;
   bool finished = false;
   std::optional<grpc::Status> ending;
-  std::shared_ptr<AnswerWriter> held;
+  std::shared_ptr<AnswerWriter> self;
 };
 
 }  // namespace
 
-/// gRPC's side. Its callbacks check seals and hand over; what is still open
-/// is kept here, so that Stop can end it without the owner's thread.
+/// The gRPC service. Its callbacks check seals and post the requests. It tracks
+/// open calls, so that Stop can end them without the owner's thread.
 class PeerServer::Impl final : public wire::Peer::CallbackService {
  public:
-  Impl(std::string shared_key, Post post_task, Handlers all)
+  Impl(std::string shared_key, Post post_task, Handlers request_handlers)
       : calls(std::make_shared<Calls>()),
         key(std::move(shared_key)),
         post(std::move(post_task)),
-        handlers(std::make_shared<const Handlers>(std::move(all))) {}
+        handlers(
+            std::make_shared<const Handlers>(std::move(request_handlers))) {}
 
   bool Listen(const std::string& address) {
     KeepCallbackQueue();
@@ -134,7 +137,7 @@
     builder.AddListeningPort(address, grpc::InsecureServerCredentials(),
                              &this->port);
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.SetMaxReceiveMessageSize(kMostBytes);
+    builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
     builder.RegisterService(this);
     this->server = builder.BuildAndStart();
     return this->server != nullptr && this->port != 0;
@@ -157,10 +160,10 @@
     if (!open.id) return open.reactor;
     const bool parsed = gossip.ParseFromString(request->body());
     const auto message = parsed ? FromWire(gossip) : std::nullopt;
-    if (!message) return this->Refuse(open);
-    this->post([state = this->calls, all = this->handlers, open, message] {
+    if (!message) return this->Reject(open);
+    this->post([state = this->calls, handlers = this->handlers, open, message] {
       wire::Gossip answer;
-      ToWire(all->probe(*message), answer);
+      ToWire(handlers->probe(*message), answer);
       state->Answer(open, answer.SerializeAsString());
     });
     return open.reactor;
@@ -174,7 +177,7 @@
     if (!open.id) return open.reactor;
     const bool parsed = pass_on.ParseFromString(request->body());
     const auto message = parsed ? FromWire(pass_on.gossip()) : std::nullopt;
-    if (!message) return this->Refuse(open);
+    if (!message) return this->Reject(open);
     const auto done = [state = this->calls,
                        open](const Result<membership::Message>& answer) {
       if (!answer) {
@@ -185,8 +188,8 @@
       ToWire(answer.value(), gossip);
       state->Answer(open, gossip.SerializeAsString());
     };
-    this->post([all = this->handlers, address = pass_on.address(), message,
-                done] { all->pass_on(address, *message, done); });
+    this->post([handlers = this->handlers, address = pass_on.address(), message,
+                done] { handlers->pass_on(address, *message, done); });
     return open.reactor;
   }
 
@@ -196,10 +199,10 @@
     const auto open = this->Open(context, kConfigCall, *request, reply);
     wire::ConfigRequest body;
     if (!open.id) return open.reactor;
-    if (!body.ParseFromString(request->body())) return this->Refuse(open);
-    this->post([state = this->calls, all = this->handlers, open,
+    if (!body.ParseFromString(request->body())) return this->Reject(open);
+    this->post([state = this->calls, handlers = this->handlers, open,
                 since = body.since()] {
-      const auto data = all->config(since);
+      const auto data = handlers->config(since);
       wire::ConfigReply answer;
       answer.set_found(data.has_value());
       answer.set_data(data.value_or(""));
@@ -213,25 +216,25 @@
       const wire::Envelope* request) override {
     const auto writer =
         std::make_shared<AnswerWriter>(this->key, request->seal());
-    writer->Hold();
+    writer->KeepAliveUntilDone();
     wire::AnswerRequest body;
-    if (!this->Genuine(kAnswerCall, *request) ||
+    if (!this->HasValidSeal(kAnswerCall, *request) ||
         !body.ParseFromString(request->body())) {
       writer->Abort();
       return writer.get();
     }
     this->calls->Add(writer);
-    this->post([all = this->handlers, body, writer] {
+    this->post([handlers = this->handlers, body, writer] {
       const AnswerSink sink{
           [writer](std::string part) { return writer->Write(std::move(part)); },
           [writer](bool complete) { writer->End(complete); }};
-      all->answer(body.request(), body.from(), body.customer(), sink);
+      handlers->answer(body.request(), body.from(), body.customer(), sink);
     });
     return writer.get();
   }
 
  private:
-  /// An open call with one answer; without id it was refused already.
+  /// An open call with a single answer; has no id if it was already rejected.
   struct OpenCall {
     std::optional<std::uint64_t> id;
     grpc::ServerUnaryReactor* reactor = nullptr;
@@ -240,8 +243,8 @@
     std::string key;
   };
 
-  /// The calls that gRPC waits for. Shared with posted tasks, which may run
-  /// after the server has gone. Safe for several threads.
+  /// The open calls. Shared with posted tasks, which may run after the server
+  /// was destroyed. Thread safety: safe.
   class Calls {
    public:
     std::uint64_t Add(grpc::ServerUnaryReactor* reactor) {
@@ -285,7 +288,7 @@
     std::deque<std::weak_ptr<AnswerWriter>> writers;
   };
 
-  bool Genuine(const char* call, const wire::Envelope& request) const {
+  bool HasValidSeal(const char* call, const wire::Envelope& request) const {
     return SameSeal(SealRequest(this->key, call, request.body()),
                     request.seal());
   }
@@ -294,7 +297,7 @@
                 const wire::Envelope& request, wire::Envelope* reply) {
     OpenCall open;
     open.reactor = context->DefaultReactor();
-    if (!this->Genuine(call, request)) {
+    if (!this->HasValidSeal(call, request)) {
       open.reactor->Finish({grpc::StatusCode::UNAUTHENTICATED, "wrong seal"});
       return open;
     }
@@ -305,7 +308,7 @@
     return open;
   }
 
-  grpc::ServerUnaryReactor* Refuse(const OpenCall& open) {
+  grpc::ServerUnaryReactor* Reject(const OpenCall& open) {
     this->calls->End(open, Malformed());
     return open.reactor;
   }
--- a/lib/peers/wire.h
+++ b/lib/peers/wire.h
@@ -6,10 +6,11 @@
 #include "peer.pb.h"
 #include "toucanwharf/membership/values.h"
 
-/// Between membership's values and what travels. Not for other packages.
+/// Conversion between the values of membership and wire messages. Private to
+/// this library.
 namespace toucanwharf::peers {
 
-/// Names of the calls, as the seals cover them.
+/// Names of the calls that the seals cover.
 inline constexpr const char* kProbeCall = "Probe";
 inline constexpr const char* kPassOnCall = "PassOnProbe";
 inline constexpr const char* kConfigCall = "FetchConfig";
@@ -18,7 +19,7 @@
 /// Writes \p message into \p gossip. Thread safety: safe.
 void ToWire(const membership::Message& message, wire::Gossip& gossip);
 
-/// Returns the message, or nothing if a field holds what no member may say.
+/// Returns the message, or nothing if a field has an invalid value.
 /// Thread safety: safe.
 std::optional<membership::Message> FromWire(const wire::Gossip& gossip);
 
--- a/lib/schema/check_document.cc
+++ b/lib/schema/check_document.cc
@@ -15,13 +15,13 @@
 
 using nlohmann::json;
 
-using ProblemsByPlace = std::map<std::string, Problem>;
+using ProblemsByPointer = std::map<std::string, Problem>;
 
 constexpr std::size_t kMaxFoundBytes = 80;
 
-/// A place in a document: its pointer, what stands there and the part of the
-/// schema that speaks of it.
-struct Place {
+/// A location in a document: its pointer, the value there and the part of the
+/// schema that describes it.
+struct Location {
   json::json_pointer pointer;
   const json* value;
   const json* schema;
@@ -47,72 +47,74 @@
   return absl::StrJoin(names, ", ");
 }
 
-/// Follows valijson's path, "<root>", "[spec]", "[calls]", "[0]", through the
-/// document and the schema together.
-Place Locate(const std::vector<std::string>& path, const json& document,
-             const json& schema) {
-  Place place{json::json_pointer(), &document, &schema};
+/// Resolves valijson's path, such as "<root>", "[spec]", "[calls]", "[0]", in
+/// the document and the schema.
+Location Locate(const std::vector<std::string>& path, const json& document,
+                const json& schema) {
+  Location location{json::json_pointer(), &document, &schema};
   for (std::size_t step = 1; step < path.size(); ++step) {
     const std::string name = path[step].substr(1, path[step].size() - 2);
-    if (place.value->is_array()) {
+    if (location.value->is_array()) {
       const std::size_t index = std::stoul(name);
-      place.pointer /= index;
-      place.value = &place.value->at(index);
-      place.schema = &place.schema->at("items");
+      location.pointer /= index;
+      location.value = &location.value->at(index);
+      location.schema = &location.schema->at("items");
       continue;
     }
-    place.pointer /= name;
-    place.value = &place.value->at(name);
-    place.schema = &place.schema->at("properties").at(name);
+    location.pointer /= name;
+    location.value = &location.value->at(name);
+    location.schema = &location.schema->at("properties").at(name);
   }
-  return place;
+  return location;
 }
 
-void Add(const Problem& problem, ProblemsByPlace& problems) {
+void Add(const Problem& problem, ProblemsByPointer& problems) {
   problems.emplace(problem.pointer, problem);
 }
 
-void AddMissing(const Place& place, ProblemsByPlace& problems) {
-  for (const json& name : place.schema->value("required", json::array())) {
+void AddMissing(const Location& location, ProblemsByPointer& problems) {
+  for (const json& name : location.schema->value("required", json::array())) {
     const auto key = name.get<std::string>();
-    if (place.value->contains(key)) continue;
-    const json& member = place.schema->at("properties").at(key);
-    Add(Problem{(place.pointer / key).to_string(), "nothing", Allowed(member),
-                "add \"" + key + "\""},
+    if (location.value->contains(key)) continue;
+    const json& member = location.schema->at("properties").at(key);
+    Add(Problem{(location.pointer / key).to_string(), "nothing",
+                Allowed(member), "add \"" + key + "\""},
         problems);
   }
 }
 
-void AddUnknown(const Place& place, ProblemsByPlace& problems) {
-  for (const auto& [name, member] : place.value->items()) {
-    if (place.schema->at("properties").contains(name)) continue;
-    Add(Problem{(place.pointer / name).to_string(),
+void AddUnknown(const Location& location, ProblemsByPointer& problems) {
+  for (const auto& [name, member] : location.value->items()) {
+    if (location.schema->at("properties").contains(name)) continue;
+    Add(Problem{(location.pointer / name).to_string(),
                 "unknown member " + Describe(name),
-                "the members " + MemberNames(*place.schema),
+                "the members " + MemberNames(*location.schema),
                 "remove it, or correct its name"},
         problems);
   }
 }
 
-void AddValue(const Place& place, ProblemsByPlace& problems) {
-  const std::string allowed = Allowed(*place.schema);
-  Add(Problem{place.pointer.to_string(), Describe(*place.value), allowed,
+void AddValue(const Location& location, ProblemsByPointer& problems) {
+  const std::string allowed = Allowed(*location.schema);
+  Add(Problem{location.pointer.to_string(), Describe(*location.value), allowed,
               "change it to " + allowed},
       problems);
 }
 
-void AddProblems(const Place& place, ProblemsByPlace& problems) {
-  if (!place.value->is_object() || !place.schema->contains("properties")) {
-    AddValue(place, problems);
+void AddProblems(const Location& location, ProblemsByPointer& problems) {
+  if (!location.value->is_object() ||
+      !location.schema->contains("properties")) {
+    AddValue(location, problems);
     return;
   }
-  AddMissing(place, problems);
-  // A schema that leaves other members open speaks only of its own.
-  if (place.schema->value("additionalProperties", true)) return;
-  AddUnknown(place, problems);
+  AddMissing(location, problems);
+  // A schema that allows additional members describes only its own.
+  if (location.schema->value("additionalProperties", true)) return;
+  AddUnknown(location, problems);
 }
 
-/// valijson reports each failure again at every level above it.
+/// Returns whether an error repeats one of a deeper level: valijson reports
+/// each failure again at every level above it.
 bool RepeatsDeeperError(const std::string& description) {
   return absl::StartsWith(description, "Failed to validate ");
 }
@@ -128,20 +130,20 @@
   valijson::ValidationResults results;
   const valijson::adapters::NlohmannJsonAdapter target(document);
   if (validator.validate(compiled, target, &results)) return {};
-  ProblemsByPlace by_place;
+  ProblemsByPointer by_pointer;
   for (const auto& error : results) {
     if (RepeatsDeeperError(error.description)) continue;
-    AddProblems(Locate(error.context, document, schema), by_place);
+    AddProblems(Locate(error.context, document, schema), by_pointer);
   }
   Problems problems;
-  for (const auto& [place, problem] : by_place) problems.push_back(problem);
+  for (const auto& [pointer, problem] : by_pointer) problems.push_back(problem);
   return problems;
 }
 
 std::string ToText(const Problem& problem) {
-  const std::string place = problem.pointer.empty() ? "/" : problem.pointer;
-  return place + ": found " + problem.found + "; allowed: " + problem.allowed +
-         "; remedy: " + problem.remedy;
+  const std::string pointer = problem.pointer.empty() ? "/" : problem.pointer;
+  return pointer + ": found " + problem.found +
+         "; allowed: " + problem.allowed + "; remedy: " + problem.remedy;
 }
 
 json ToJson(const Problems& problems) {
--- a/lib/schema/parse_json.cc
+++ b/lib/schema/parse_json.cc
@@ -12,8 +12,8 @@
   return Problem{"", std::move(found), std::move(allowed), std::move(remedy)};
 }
 
-/// Returns whether \p value or anything below it is a string or member name
-/// over the limit. Recursion is bounded, since the depth was checked before.
+/// Returns whether \p value contains a string or member name over the limit.
+/// Recursion is bounded, because the depth was checked before.
 bool HasLongString(const json& value) {
   if (value.is_string()) {
     return value.get_ref<const std::string&>().size() > kMaxStringBytes;
@@ -40,7 +40,7 @@
                                   "split the document")};
   }
   // Deep nesting would overflow the stack of every recursive reader of the
-  // value, so that what is below the limit is dropped while it is read.
+  // value, so levels below the limit are discarded during parsing.
   bool too_deep = false;
   const auto limit_depth = [&too_deep](int depth, json::parse_event_t, json&) {
     if (depth > kMaxDepth) too_deep = true;
@@ -58,7 +58,7 @@
                                   "correct the syntax; a JSON linter shows "
                                   "the line")};
   }
-  // std::regex recurses once per character of its input; a long string would
+  // std::regex recurses once per character of its input, so a long string would
   // overflow the stack when a schema's pattern is matched.
   if (HasLongString(document)) {
     return Problems{WholeDocument(
--- a/lib/settings/settings.cc
+++ b/lib/settings/settings.cc
@@ -30,13 +30,13 @@
 const json& SettingsSchema() {
   static const json* const kSchemaFile =
       new json(json::parse(EmbeddedSchema("settings.json"), nullptr, false));
-  assert(kSchemaFile->is_object() && "the schema is embedded by CMake");
+  assert(kSchemaFile->is_object() && "CMake embeds the schema");
   return *kSchemaFile;
 }
 
-/// Returns whether \p address is an IP number with a port. Names are refused:
-/// instances find each other by number, and a resolver that hangs would hold
-/// up the start.
+/// Returns whether \p address is an IP address with a port. Host names are
+/// rejected: instances reach each other by IP address, and an unresponsive
+/// resolver would block startup.
 bool IsAddress(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0) return false;
@@ -44,40 +44,40 @@
   if (!absl::SimpleAtoi(address.substr(colon + 1), &port)) return false;
   if (port < 1 || port > kMaxPort) return false;
   std::string host = address.substr(0, colon);
-  std::array<unsigned char, sizeof(in6_addr)> number{};
+  std::array<unsigned char, sizeof(in6_addr)> parsed{};
   if (host.front() != '[') {
-    return inet_pton(AF_INET, host.c_str(), number.data()) == 1;
+    return inet_pton(AF_INET, host.c_str(), parsed.data()) == 1;
   }
   if (host.back() != ']') return false;
   host = host.substr(1, host.size() - 2);
-  return inet_pton(AF_INET6, host.c_str(), number.data()) == 1;
+  return inet_pton(AF_INET6, host.c_str(), parsed.data()) == 1;
 }
 
 void CheckAddress(const json& document, const std::string& pointer,
                   Problems& problems) {
-  const json::json_pointer place(pointer);
-  if (!document.contains(place)) return;
-  const json& value = document.at(place);
+  const json::json_pointer field(pointer);
+  if (!document.contains(field)) return;
+  const json& value = document.at(field);
   if (!value.is_string() || IsAddress(value)) return;
   problems.push_back(Problem{pointer, value.dump(), kAddressForm,
                              "write the number of the interface, not a name"});
 }
 
-/// Two listeners on one address: the second bind would fail after the first
-/// port is already open.
+/// Reports listeners with the same address: the second bind would fail when the
+/// first port is already open.
 void CheckDistinct(const json& document, Problems& problems) {
   std::set<std::string> seen;
   for (const char* listener : kListeners) {
-    const json::json_pointer place(std::string("/listen/") + listener);
-    if (!document.contains(place) || !document.at(place).is_string()) continue;
-    if (seen.insert(document.at(place).get<std::string>()).second) continue;
-    problems.push_back(Problem{place.to_string(), document.at(place).dump(),
+    const json::json_pointer field(std::string("/listen/") + listener);
+    if (!document.contains(field) || !document.at(field).is_string()) continue;
+    if (seen.insert(document.at(field).get<std::string>()).second) continue;
+    problems.push_back(Problem{field.to_string(), document.at(field).dump(),
                                "an address that no other listener has",
                                "choose another port"});
   }
 }
 
-/// Keys stay out of logs and terminals, also when they are wrong.
+/// Keeps keys out of logs and terminals, also invalid ones.
 void HideKeys(Problems& problems) {
   for (Problem& problem : problems) {
     const bool is_key = absl::StartsWith(problem.pointer, "/keys");
@@ -97,20 +97,20 @@
 }
 
 Timeouts ReadTimeouts(const json& group) {
-  const Timeouts usual;
-  return Timeouts{Millis(group, "connect_ms", usual.connect),
-                  Millis(group, "progress_ms", usual.progress),
-                  Millis(group, "answer_ms", usual.answer),
-                  Millis(group, "entries_ttl_ms", usual.entries_ttl),
-                  Millis(group, "drain_ms", usual.drain)};
+  const Timeouts defaults;
+  return Timeouts{Millis(group, "connect_ms", defaults.connect),
+                  Millis(group, "progress_ms", defaults.progress),
+                  Millis(group, "answer_ms", defaults.answer),
+                  Millis(group, "entries_ttl_ms", defaults.entries_ttl),
+                  Millis(group, "drain_ms", defaults.drain)};
 }
 
 Limits ReadLimits(const json& group) {
-  const Limits usual;
-  return Limits{group.value("body_bytes", usual.body_bytes),
-                group.value("connections", usual.connections),
-                group.value("waiting_requests", usual.waiting_requests),
-                group.value("timeline_events", usual.timeline_events)};
+  const Limits defaults;
+  return Limits{group.value("body_bytes", defaults.body_bytes),
+                group.value("connections", defaults.connections),
+                group.value("waiting_requests", defaults.waiting_requests),
+                group.value("timeline_events", defaults.timeline_events)};
 }
 
 Settings ReadSettings(const json& document) {
--- a/lib/support/clock.cc
+++ b/lib/support/clock.cc
@@ -7,9 +7,9 @@
 TimePoint BootClock::Now() const {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
-  const auto whole = std::chrono::seconds(now.tv_sec);
-  const auto rest = std::chrono::nanoseconds(now.tv_nsec);
-  return TimePoint{std::chrono::duration_cast<Duration>(whole + rest)};
+  const auto seconds = std::chrono::seconds(now.tv_sec);
+  const auto nanoseconds = std::chrono::nanoseconds(now.tv_nsec);
+  return TimePoint{std::chrono::duration_cast<Duration>(seconds + nanoseconds)};
 }
 
 std::uint64_t WallMillis() {
--- a/lib/support/ids.cc
+++ b/lib/support/ids.cc
@@ -21,23 +21,23 @@
 
 std::uint64_t SecureWord() {
   std::uint64_t word = 0;
-  const int done =
+  const int status =
       RAND_bytes(reinterpret_cast<unsigned char*>(&word), sizeof(word));
-  assert(done == 1 && "the system's random source must answer");
-  static_cast<void>(done);
+  assert(status == 1 && "the system's random source must not fail");
+  static_cast<void>(status);
   return word;
 }
 
-/// The last 32 bits of the ids of \p origin.
+/// Returns the last 32 bits of ids of \p origin.
 std::uint32_t OriginBits(std::string_view origin) {
   return static_cast<std::uint32_t>(HashText(origin));
 }
 
-bool HasIdShape(std::string_view id) {
+bool HasUuidV7Form(std::string_view id) {
   if (id.size() != kIdLength) return false;
-  for (std::size_t at = 0; at < id.size(); ++at) {
-    const bool dash = at == 8 || at == 13 || at == 18 || at == 23;
-    const char digit = id[at];
+  for (std::size_t i = 0; i < id.size(); ++i) {
+    const bool dash = i == 8 || i == 13 || i == 18 || i == 23;
+    const char digit = id[i];
     const bool hex =
         (digit >= '0' && digit <= '9') || (digit >= 'a' && digit <= 'f');
     if (dash ? digit != '-' : !hex) return false;
@@ -55,7 +55,7 @@
 }
 
 bool IsIdOf(std::string_view id, std::string_view origin) {
-  if (!HasIdShape(id)) return false;
+  if (!HasUuidV7Form(id)) return false;
   constexpr std::size_t kOriginDigits = 8;
   return id.substr(id.size() - kOriginDigits) ==
          absl::StrFormat("%08x", OriginBits(origin));
@@ -72,7 +72,7 @@
 }
 
 std::optional<std::uint64_t> MillisOf(std::string_view id) {
-  if (!HasIdShape(id)) return std::nullopt;
+  if (!HasUuidV7Form(id)) return std::nullopt;
   const std::string digits =
       std::string(id.substr(0, 8)) + std::string(id.substr(9, 4));
   std::uint64_t millis = 0;
--- a/lib/support/json.cc
+++ b/lib/support/json.cc
@@ -17,7 +17,8 @@
   return found->get<std::uint64_t>();
 }
 
-std::uint64_t CountMemberOrZero(const nlohmann::json& object, const char* name) {
+std::uint64_t CountMemberOrZero(const nlohmann::json& object,
+                                const char* name) {
   return CountMember(object, name).value_or(0);
 }
 
--- a/unittests/eventlog/explain_test.cc
+++ b/unittests/eventlog/explain_test.cc
@@ -5,9 +5,9 @@
 namespace toucanwharf::eventlog {
 namespace {
 
-std::string Line(int at, const std::string& instance, const std::string& event,
-                 const std::string& more = "") {
-  return "{\"v\":1,\"at\":" + std::to_string(at) + ",\"instance\":\"" +
+std::string Line(int time_ms, const std::string& instance,
+                 const std::string& event, const std::string& more = "") {
+  return "{\"v\":1,\"at\":" + std::to_string(time_ms) + ",\"instance\":\"" +
          instance + "\",\"event\":\"" + event + "\"" + more + "}";
 }
 
@@ -23,8 +23,8 @@
   return entries;
 }
 
-// A caller complains of a refusal. The logs of two processes come in any order,
-// and tell why it was refused and what its instance believed at that moment.
+// The logs of two processes, in any order, must suffice to explain why a
+// request was refused and which state its instance had at that moment.
 BOOST_AUTO_TEST_CASE(RefusalIsExplainedFromLogsAlone) {
   const std::string collected = "12.5 front-1 ";
   const auto explanation = Explain(
--- a/unittests/eventlog/logger_test.cc
+++ b/unittests/eventlog/logger_test.cc
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-/// A pipe whose reading end reads only when it is told to.
+/// A pipe that is read only when the test calls ReadAll.
 class Pipe {
  public:
   Pipe() {
@@ -61,19 +61,20 @@
   BOOST_TEST(line["v"] == 2);
 }
 
-// Nobody reads the log. The process must go on serving: no write waits, memory
-// stays bounded, and once somebody reads, a line says how many were lost.
-BOOST_AUTO_TEST_CASE(PipeThatNobodyReadsBlocksNothing) {
+// Nobody reads the log. The process must continue: no write blocks, memory
+// stays bounded, and once the log is read, a line reports how many lines were
+// dropped.
+BOOST_AUTO_TEST_CASE(UnreadPipeDoesNotBlock) {
   Pipe pipe;
   Logger logger(pipe.Writer(), "instance-1");
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const std::string filler(500, 'x');
-  for (int at = 0; at < 20000; ++at) {
+  for (int i = 0; i < 20000; ++i) {
     logger.Write(Level::kNotable, "event", Fields().Text("filler", filler),
-                 TimePoint{milliseconds(at * 10)});
+                 TimePoint{milliseconds(i * 10)});
     logger.Flush();
   }
-  const auto took = std::chrono::steady_clock::now() - begun;
+  const auto took = std::chrono::steady_clock::now() - start;
   BOOST_TEST((took < std::chrono::seconds(5)));
   BOOST_TEST(logger.Buffered() < 300U * 1024);
   BOOST_TEST(logger.Dropped() > 0U);
@@ -86,19 +87,19 @@
     logger.Flush();
     if (pipe.ReadAll().find("lines_dropped") != std::string::npos) return;
   }
-  BOOST_FAIL("no line tells of the lost ones");
+  BOOST_FAIL("no line reports the dropped lines");
 }
 
-// A thousand requests a second are answered and some are refused. Routine
-// lines are sampled, and none of the refusals is lost to them.
+// A thousand requests a second are answered and some are refused. Routine lines
+// are sampled, and displace no line about a refusal.
 BOOST_AUTO_TEST_CASE(RefusalsGoBeforeRoutineLines) {
   Pipe pipe;
   Logger logger(pipe.Writer(), "instance-1");
   std::string text;
-  for (int at = 0; at < 5000; ++at) {
-    const TimePoint now{milliseconds(at)};
+  for (int i = 0; i < 5000; ++i) {
+    const TimePoint now{milliseconds(i)};
     logger.Write(Level::kRoutine, "answered", Fields(), now);
-    if (at % 20 == 0) logger.Write(Level::kNotable, "refused", Fields(), now);
+    if (i % 20 == 0) logger.Write(Level::kNotable, "refused", Fields(), now);
     logger.Flush();
     text += pipe.ReadAll();
   }
--- a/unittests/exchange/peer_exchange_test.cc
+++ b/unittests/exchange/peer_exchange_test.cc
@@ -21,15 +21,15 @@
 
   Routers() {
     std::vector<membership::Seed> seeds;
-    for (std::size_t at = 0; at < kSize; ++at) {
+    for (std::size_t i = 0; i < kSize; ++i) {
       settings::Settings settings;
-      settings.instance = "r" + std::to_string(at);
-      settings.listen.peers = "127.0.0.1:" + std::to_string(kFirstPort + at);
+      settings.instance = "r" + std::to_string(i);
+      settings.listen.peers = "127.0.0.1:" + std::to_string(kFirstPort + i);
       settings.advertise.peers = settings.listen.peers;
       settings.peer_key = "key";
       seeds.push_back({settings.instance, settings.listen.peers});
-      this->routers.push_back(
-          std::make_unique<PeerExchange>(this->loop, settings, PeerCallbacks{}));
+      this->routers.push_back(std::make_unique<PeerExchange>(
+          this->loop, settings, PeerCallbacks{}));
     }
     for (const auto& router : this->routers) {
       BOOST_REQUIRE(router->Start().has_value());
@@ -37,7 +37,7 @@
     }
   }
 
-  /// Runs the loop until \p done; ctest's timeout ends a test that never is.
+  /// Runs the loop until \p done returns true, or until ctest's timeout.
   void RunUntil(const std::function<bool()>& done) {
     std::function<void()> check = [&] {
       if (done()) {
@@ -53,7 +53,7 @@
   static constexpr std::size_t kFirstPort = 28131;
 };
 
-BOOST_FIXTURE_TEST_CASE(RoutersMeetAndHearOfLeavingAndItems, Routers) {
+BOOST_FIXTURE_TEST_CASE(RoutersLearnOfMembersDrainsAndItems, Routers) {
   using membership::ItemKind;
   this->routers[0]->Publish(ItemKind::kGeneration, "", "5");
   this->routers[1]->Leave();
@@ -66,7 +66,7 @@
   const auto items = this->routers[2]->Items(ItemKind::kGeneration);
   BOOST_TEST(items.front().value == "5");
   BOOST_TEST(this->routers[2]->Counts().bytes_received > 0u);
-  // A leaving router watches nothing any more.
+  // A leaving router no longer observes endpoints.
   BOOST_TEST(this->routers[1]->ObserverRank("e1", 2) == 2u);
 }
 
--- a/unittests/peers/peers_test.cc
+++ b/unittests/peers/peers_test.cc
@@ -17,22 +17,22 @@
 
 constexpr Duration kTimeout = std::chrono::seconds(10);
 
-/// Tasks of the owner's thread, which is the test's.
+/// Task queue of the owner's thread, here the test's.
 class Tasks {
  public:
   Post Poster() {
     return [this](std::function<void()> task) {
       const std::lock_guard lock(this->mutex);
-      this->waiting.push_back(std::move(task));
+      this->queued.push_back(std::move(task));
       this->changed.notify_all();
     };
   }
   void RunUntil(const std::function<bool()>& done) {
     while (!done()) {
       std::unique_lock lock(this->mutex);
-      this->changed.wait(lock, [this] { return !this->waiting.empty(); });
-      const std::function<void()> task = std::move(this->waiting.front());
-      this->waiting.pop_front();
+      this->changed.wait(lock, [this] { return !this->queued.empty(); });
+      const std::function<void()> task = std::move(this->queued.front());
+      this->queued.pop_front();
       lock.unlock();
       task();
     }
@@ -41,7 +41,7 @@
  private:
   std::mutex mutex;
   std::condition_variable changed;
-  std::deque<std::function<void()>> waiting;
+  std::deque<std::function<void()>> queued;
 };
 
 membership::Message From(const std::string& id) {
@@ -87,20 +87,21 @@
   Result<membership::Message> Send(PeerClient& client,
                                    const membership::Probe& probe) {
     std::optional<Result<membership::Message>> result;
-    client.Send(probe, kTimeout, [&](const auto& got) { result = got; });
+    client.Send(probe, kTimeout,
+                [&](const auto& response) { result = response; });
     this->tasks.RunUntil([&] { return result.has_value(); });
     return *result;
   }
   Result<std::string> Fetch(PeerClient& client, std::uint64_t since) {
     std::optional<Result<std::string>> result;
     client.FetchConfig(this->address, since, kTimeout,
-                       [&](const auto& got) { result = got; });
+                       [&](const auto& response) { result = response; });
     this->tasks.RunUntil([&] { return result.has_value(); });
     return *result;
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(ProbesAndConfigurationArriveWhole, Pair) {
+BOOST_FIXTURE_TEST_CASE(ProbesAndConfigurationArriveUnchanged, Pair) {
   PeerClient client(this->tasks.Poster(), "key");
   const auto direct = this->Send(client, {1, this->address, "", From("me")});
   BOOST_TEST(direct.value().sender.id == "server");
@@ -115,12 +116,14 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(AnotherKeyIsRefused, Pair) {
-  // Someone on the network who lacks the key asks for the configuration or
-  // gossips false deaths; no handler may see it.
-  PeerClient stranger(this->tasks.Poster(), "other");
-  const bool refused = this->Fetch(stranger, 2).error() == Errc::kWrongKey;
+  // A client without the key requests the configuration, or gossips that live
+  // members are dead; neither may reach a handler.
+  PeerClient client_without_key(this->tasks.Poster(), "other");
+  const bool refused =
+      this->Fetch(client_without_key, 2).error() == Errc::kWrongKey;
   BOOST_TEST(refused);
-  const auto probe = this->Send(stranger, {1, this->address, "", From("me")});
+  const auto probe =
+      this->Send(client_without_key, {1, this->address, "", From("me")});
   const bool probe_refused = probe.error() == Errc::kWrongKey;
   BOOST_TEST(probe_refused);
 }
@@ -142,9 +145,9 @@
   BOOST_TEST(!this->sink->write("late"));
 }
 
-BOOST_FIXTURE_TEST_CASE(StopEndsAnswersAsNotWhole, Pair) {
-  // The router that serves a resumed answer stops in the middle; the other
-  // must not take what it has for the whole answer (I2).
+BOOST_FIXTURE_TEST_CASE(StopEndsAnswersAsIncomplete, Pair) {
+  // The router that serves a resumed answer stops in the middle; the other must
+  // not treat the parts received as the complete answer (I2).
   PeerClient client(this->tasks.Poster(), "key");
   std::optional<Result<void>> end;
   client.GetAnswer(
--- a/unittests/schema/schema_test.cc
+++ b/unittests/schema/schema_test.cc
@@ -22,7 +22,7 @@
   return *kPerson;
 }
 
-BOOST_AUTO_TEST_CASE(EveryProblemIsTold) {
+BOOST_AUTO_TEST_CASE(EveryProblemIsReported) {
   const json document =
       json::parse(R"({"age": -1, "pets": ["a", 7], "x": 1, "y/z": 2})");
   const Problems problems = CheckDocument(PersonSchema(), document);
@@ -38,14 +38,14 @@
   BOOST_TEST(problems[4].pointer == "/y~1z");
 }
 
-BOOST_AUTO_TEST_CASE(RightDocumentHasNoProblem) {
+BOOST_AUTO_TEST_CASE(ValidDocumentHasNoProblem) {
   const json document = json::parse(R"({"name": "n", "age": 3})");
   BOOST_TEST(CheckDocument(PersonSchema(), document).empty());
 }
 
-// A caller sends a document of a hundred thousand nested arrays. Every reader
-// of it that recurses overflows its stack, and the process dies with all
-// answers in progress.
+// Guards against a stack overflow, which ends the process with all answers in
+// progress: a caller sends a document of a hundred thousand nested arrays, and
+// every recursive reader of it overflows the stack.
 BOOST_AUTO_TEST_CASE(DeepNestingIsRefused) {
   const std::string deep(100000, '[');
   const auto document = ParseJson(deep + std::string(100000, ']'));
--- a/unittests/settings/settings_test.cc
+++ b/unittests/settings/settings_test.cc
@@ -42,7 +42,7 @@
   BOOST_TEST(settings.limits.body_bytes == 4096u);
 }
 
-BOOST_AUTO_TEST_CASE(EveryWrongSettingIsTold) {
+BOOST_AUTO_TEST_CASE(EveryInvalidSettingIsReported) {
   json document = GoodSettings();
   document.erase("region");
   document["listen"]["admin"] = "localhost:8081";
@@ -53,8 +53,8 @@
   BOOST_TEST(parsed.assume_error().size() == 5u);
 }
 
-// An operator mistypes a key; the problem goes to a terminal and a log that
-// others read, and the key with it.
+// Guards against disclosure of a mistyped key: problems are written to
+// terminals and logs that others read.
 BOOST_AUTO_TEST_CASE(ProblemsDoNotShowKeys) {
   json document = GoodSettings();
   document["keys"]["admin"] = "short-secret";
--- a/unittests/support/deflate_test.cc
+++ b/unittests/support/deflate_test.cc
@@ -11,24 +11,24 @@
 
 BOOST_AUTO_TEST_SUITE(DeflateTest)
 
-BOOST_AUTO_TEST_CASE(AnyTextComesBack) {
+BOOST_AUTO_TEST_CASE(AnyTextRoundTrips) {
   BOOST_TEST(rc::check([](const std::string& text) {
     RC_ASSERT(Inflate(Deflate(text), kMost) == text);
   }));
 }
 
-BOOST_AUTO_TEST_CASE(TextLargerThanAPieceComesBack) {
+BOOST_AUTO_TEST_CASE(TextLargerThanAChunkRoundTrips) {
   std::string text;
   while (text.size() < kMost / 2) text += std::to_string(text.size()) + ",";
   BOOST_TEST((Inflate(Deflate(text), kMost) == text));
 }
 
-// Guards against a peer whose few bytes fill the memory.
-BOOST_AUTO_TEST_CASE(TextOfMoreThanTheMostIsNone) {
+// Guards against a decompression bomb: a few bytes from a peer fill the memory.
+BOOST_AUTO_TEST_CASE(TextAboveTheLimitIsRejected) {
   BOOST_TEST(!Inflate(Deflate(std::string(kMost + 1, 'a')), kMost));
 }
 
-BOOST_AUTO_TEST_CASE(PartOfTheBytesIsNone) {
+BOOST_AUTO_TEST_CASE(TruncatedBytesAreRejected) {
   const std::string whole = Deflate("a text that is cut off");
   BOOST_TEST(!Inflate(whole.substr(0, whole.size() - 1), kMost));
   BOOST_TEST(!Inflate("", kMost));
