--- a/include/toucanwharf/http/server.h
+++ b/include/toucanwharf/http/server.h
@@ -37,7 +37,7 @@
   virtual ~Exchange() = default;
 
   virtual const Request& Received() const = 0;
-  /// Sends a whole response.
+  /// Sends a complete response.
   virtual void Respond(const ResponseHead& head, std::string_view body) = 0;
   /// Sends the head; a body without a length is sent with chunked encoding.
   virtual void Begin(const ResponseHead& head) = 0;
--- a/lib/transport/http_server.cc
+++ b/lib/transport/http_server.cc
@@ -345,7 +345,7 @@
 
 /// Guards against an abort at shutdown: a request that was passed to a loop
 /// that has stopped never gets a response, and libmicrohttpd aborts the process
-/// if it is stopped with suspended connections (about 6 of 40 times). Resumes
+/// if it is stopped with suspended connections (seen in 6 of 40 stops). Resumes
 /// all suspended connections, which end without a response; later requests are
 /// refused before their connection is suspended.
 void HttpServer::ResumeAllSuspended() {
--- a/unittests/http/http_test.cc
+++ b/unittests/http/http_test.cc
@@ -30,9 +30,9 @@
     peer.sin_family = AF_INET;
     peer.sin_port = htons(port);
     peer.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const timeval patience{3, 0};
-    setsockopt(this->descriptor, SOL_SOCKET, SO_RCVTIMEO, &patience,
-               sizeof(patience));
+    const timeval receive_timeout{3, 0};
+    setsockopt(this->descriptor, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout,
+               sizeof(receive_timeout));
     BOOST_REQUIRE(connect(this->descriptor, reinterpret_cast<sockaddr*>(&peer),
                           sizeof(peer)) == 0);
   }
@@ -133,7 +133,7 @@
   Loop loop;
   Client client(loop);
   Fetched last;
-  std::function<void(int)> next = [&](int left) {
+  std::function<void(int)> next = [&](int remaining) {
     last = Fetched{};
     CallHandlers handlers;
     handlers.on_head = [&](const ResponseHead& head) { last.head = head; };
@@ -141,10 +141,10 @@
       last.body_before_head = last.body_before_head || last.head.status == 0;
       last.body.append(bytes);
     };
-    handlers.on_done = [&, left](const CallResult& result) {
+    handlers.on_done = [&, remaining](const CallResult& result) {
       last.result = result;
-      if (left > 1) {
-        loop.After(milliseconds(50), [&, left] { next(left - 1); });
+      if (remaining > 1) {
+        loop.After(milliseconds(50), [&, remaining] { next(remaining - 1); });
       } else {
         loop.Stop();
       }
@@ -363,8 +363,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(BodyWithoutLengthEndsWithItsConnection) {
-  ScriptedPeer whole({"HTTP/1.1 200 OK\r\n\r\n", "all of it"});
-  const Fetched fetched = Call(whole.Address(), {});
+  ScriptedPeer complete({"HTTP/1.1 200 OK\r\n\r\n", "all of it"});
+  const Fetched fetched = Call(complete.Address(), {});
   BOOST_CHECK(fetched.result.end == CallEnd::kComplete);
   BOOST_TEST(fetched.body == "all of it");
   ScriptedPeer broken({"HTTP/1.1 200 OK\r\n\r\n", "part"}, true);
--- a/unittests/support/deflate_test.cc
+++ b/unittests/support/deflate_test.cc
@@ -29,8 +29,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(TruncatedBytesAreRejected) {
-  const std::string whole = Deflate("a text that is cut off");
-  BOOST_TEST(!Inflate(whole.substr(0, whole.size() - 1), kMost));
+  const std::string complete = Deflate("a text that is cut off");
+  BOOST_TEST(!Inflate(complete.substr(0, complete.size() - 1), kMost));
   BOOST_TEST(!Inflate("", kMost));
   BOOST_TEST(!Inflate("no such bytes", kMost));
 }
