--- a/standins/common/http_client.cc
+++ b/standins/common/http_client.cc
@@ -13,8 +13,8 @@
   return size * count;
 }
 
-int AskAbort(void* flag, curl_off_t /*down_all*/, curl_off_t /*down*/,
-             curl_off_t /*up_all*/, curl_off_t /*up*/) {
+int CheckAbort(void* flag, curl_off_t /*down_all*/, curl_off_t /*down*/,
+               curl_off_t /*up_all*/, curl_off_t /*up*/) {
   return static_cast<const std::atomic<bool>*>(flag)->load() ? 1 : 0;
 }
 
@@ -47,7 +47,7 @@
   curl_easy_setopt(this->easy, CURLOPT_WRITEDATA, &answer.body);
   if (abort != nullptr) {
     curl_easy_setopt(this->easy, CURLOPT_NOPROGRESS, 0L);
-    curl_easy_setopt(this->easy, CURLOPT_XFERINFOFUNCTION, &AskAbort);
+    curl_easy_setopt(this->easy, CURLOPT_XFERINFOFUNCTION, &CheckAbort);
     curl_easy_setopt(this->easy, CURLOPT_XFERINFODATA, abort);
   }
   if (!body.empty()) {
--- a/standins/common/http_client.h
+++ b/standins/common/http_client.h
@@ -7,16 +7,16 @@
 
 namespace toucanwharf::standins {
 
-/// What a call brought back; status 0 means no answer.
+/// Response to a call; status 0 means that none was received.
 struct HttpAnswer {
   long status = 0;  // NOLINT(google-runtime-int): libcurl's type
   std::string body;
 
-  /// Returns the body as JSON; a discarded value if it is none.
+  /// Returns the body as JSON; a discarded value if it isn't valid JSON.
   nlohmann::json Json() const;
 };
 
-/// Blocking HTTP client that keeps its connections, for the stand-ins only.
+/// Blocking HTTP client that reuses its connections, for the stand-ins only.
 /// Thread safety: none; one client per thread.
 class HttpClient {
  public:
@@ -25,8 +25,8 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Calls \p url; gives up after \p timeout_ms, or within about a second
-  /// once \p abort is true.
+  /// Calls \p url. Aborts after \p timeout_ms, or within about a second after
+  /// \p abort becomes true.
   HttpAnswer Call(const std::string& method, const std::string& url,
                   const std::string& body, int timeout_ms,
                   const std::atomic<bool>* abort = nullptr);
--- a/standins/common/http_server.cc
+++ b/standins/common/http_server.cc
@@ -17,7 +17,7 @@
 
 constexpr unsigned int kConnectionLimit = 16384;
 constexpr std::size_t kStackBytes = std::size_t{512} * 1024;
-constexpr std::size_t kStreamBlock = 4096;
+constexpr std::size_t kStreamBlockBytes = 4096;
 
 std::string LowerCase(std::string text) {
   std::transform(text.begin(), text.end(), text.begin(), [](unsigned char c) {
@@ -42,21 +42,21 @@
 
 struct StreamState {
   BodyStream stream;
-  std::string rest;
+  std::string unsent;
 };
 
 ssize_t ReadStream(void* cls, std::uint64_t /*position*/, char* buffer,
                    std::size_t size) {
   auto& state = *static_cast<StreamState*>(cls);
-  while (state.rest.empty()) {
-    auto piece = state.stream();
-    if (!piece) return MHD_CONTENT_READER_END_OF_STREAM;
-    state.rest = std::move(*piece);
+  while (state.unsent.empty()) {
+    auto chunk = state.stream();
+    if (!chunk) return MHD_CONTENT_READER_END_OF_STREAM;
+    state.unsent = std::move(*chunk);
   }
-  const std::size_t taken = std::min(size, state.rest.size());
-  std::copy_n(state.rest.data(), taken, buffer);
-  state.rest.erase(0, taken);
-  return static_cast<ssize_t>(taken);
+  const std::size_t copied = std::min(size, state.unsent.size());
+  std::copy_n(state.unsent.data(), copied, buffer);
+  state.unsent.erase(0, copied);
+  return static_cast<ssize_t>(copied);
 }
 
 void FreeStream(void* cls) { delete static_cast<StreamState*>(cls); }
@@ -65,9 +65,9 @@
   if (reply.stream) {
     auto state = std::make_unique<StreamState>();
     state->stream = std::move(reply.stream);
-    return MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, kStreamBlock,
-                                             &ReadStream, state.release(),
-                                             &FreeStream);
+    return MHD_create_response_from_callback(MHD_SIZE_UNKNOWN,
+                                             kStreamBlockBytes, &ReadStream,
+                                             state.release(), &FreeStream);
   }
   return MHD_create_response_from_buffer(reply.body.size(), reply.body.data(),
                                          MHD_RESPMEM_MUST_COPY);
@@ -88,8 +88,8 @@
 
 }  // namespace
 
-/// The C callbacks of libmicrohttpd; a friend, so that they stay out of the
-/// header.
+/// The C callbacks of libmicrohttpd. A friend of HttpServer, so that the header
+/// doesn't need the library's types.
 struct HttpCallbacks {
   static MHD_Result Start(const HttpServer& server, MHD_Connection* connection,
                           const char* url, const char* method, void** context) {
@@ -127,7 +127,7 @@
     try {
       return server.handler(request);
     } catch (const nlohmann::json::exception& error) {
-      // Only a field of the wrong type throws, before anything ran.
+      // Only a field of the wrong type throws, before the request is executed.
       return JsonReply(400, {{"error", error.what()}, {"ran", "no"}});
     }
   }
@@ -140,9 +140,9 @@
 };
 
 std::uint64_t HttpRequest::Number(const std::string& name,
-                                  std::uint64_t otherwise) const {
+                                  std::uint64_t fallback) const {
   const auto found = this->query.find(name);
-  if (found == this->query.end()) return otherwise;
+  if (found == this->query.end()) return fallback;
   return std::strtoull(found->second.c_str(), nullptr, 10);
 }
 
--- a/standins/common/http_server.h
+++ b/standins/common/http_server.h
@@ -12,7 +12,7 @@
 
 namespace toucanwharf::standins {
 
-/// One request, whole.
+/// A completely received request.
 struct HttpRequest {
   std::string method;
   std::string path;
@@ -21,16 +21,16 @@
   std::map<std::string, std::string> headers;
   std::string body;
 
-  /// Returns the query's value of \p name as a number, else \p otherwise.
-  std::uint64_t Number(const std::string& name, std::uint64_t otherwise) const;
-  /// Returns the body as JSON; a discarded value if it is none.
+  /// Returns the query parameter \p name as a number, or \p fallback if absent.
+  std::uint64_t Number(const std::string& name, std::uint64_t fallback) const;
+  /// Returns the body as JSON; a discarded value if it isn't valid JSON.
   nlohmann::json Json() const;
 };
 
-/// Gives the next piece of a streamed body, nothing at its end. It may block.
+/// Returns the next chunk of a streamed body, nullopt at its end. May block.
 using BodyStream = std::function<std::optional<std::string>()>;
 
-/// What goes back.
+/// The response to a request.
 struct HttpReply {
   int status = 200;
   std::string body;
@@ -38,31 +38,32 @@
   std::map<std::string, std::string> headers;
   /// If set, sent in place of `body`.
   BodyStream stream;
-  /// Close the connection without any answer.
+  /// Closes the connection without a response.
   bool drop = false;
 };
 
 /// Returns a JSON reply.
 HttpReply JsonReply(int status, const nlohmann::json& body);
-/// Returns a reply that closes the connection without an answer.
+/// Returns a reply that closes the connection without a response.
 HttpReply DropReply();
 
 /// Blocking HTTP server, one thread per connection, for the stand-ins only.
 class HttpServer {
  public:
   using Handler = std::function<HttpReply(const HttpRequest&)>;
-  /// Asked once the headers were read; false closes before the body is read.
+  /// Called when the headers have been read; false closes the connection
+  /// before the body is read.
   using HeaderCheck = std::function<bool(const HttpRequest&)>;
 
-  /// Listens on 127.0.0.1:\p port; 0 chooses one. The handlers are called
-  /// from many threads at once. Throws std::runtime_error if the port is taken.
+  /// Listens on 127.0.0.1:\p port; 0 picks a free port. The handlers are called
+  /// concurrently. Throws std::runtime_error if the port is in use.
   HttpServer(std::uint16_t port, Handler handler,
              HeaderCheck header_check = nullptr);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Returns the port that is listened on. Thread safety: safe.
+  /// Returns the listening port. Thread safety: safe.
   std::uint16_t Port() const { return this->port; }
 
  private:
--- a/standins/common/program.h
+++ b/standins/common/program.h
@@ -7,37 +7,38 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-/// What the main functions of the stand-ins share.
+/// Functions shared by the main functions of the stand-ins.
 namespace toucanwharf::standins {
 
-/// Parses the arguments and runs \p run with them; the exit code of main.
-/// Prints the help if asked for it, and what \p run throws.
+/// Parses the arguments, calls \p run with them and returns the exit code.
+/// Handles --help, and prints any exception that \p run throws.
 int RunMain(cxxopts::Options& options, int argc, char** argv,
             const std::function<void(const cxxopts::ParseResult&)>& run);
 
 /// Returns the port of \p listen, "127.0.0.1:PORT". Throws std::runtime_error
-/// for any other address: the stand-ins serve the loopback only.
+/// for any other address: the stand-ins listen on loopback only.
 std::uint16_t ListenPort(const std::string& listen);
 
-/// Blocks the signals that end the program in this and all later threads.
-/// Precondition: no other thread runs yet.
+/// Blocks SIGTERM and SIGINT in this thread and all threads it starts.
+/// Precondition: no other thread has been started.
 void BlockSignals();
 
-/// Prints the line that tells where the stand-in listens.
+/// Prints the line with the address on which the stand-in listens.
 void AnnouncePort(std::uint16_t port);
 
-/// Waits for SIGTERM or SIGINT and returns. Precondition: BlockSignals ran.
+/// Waits for SIGTERM or SIGINT. Precondition: BlockSignals was called.
 void WaitForSignal();
 
-/// Ends the process at once with success; calls that wait are cut.
+/// Exits immediately with success; calls in flight are aborted.
 [[noreturn]] void ExitNow();
 
-/// Puts \p instance onto the instance list of the platform at \p platform
-/// ("ip:port"); nothing happens for an empty \p platform.
+/// Adds \p instance to the instance list of the platform at \p platform
+/// ("ip:port"); does nothing if \p platform is empty.
 void RegisterInstance(const std::string& platform,
                       const nlohmann::json& instance);
 
-/// Takes \p id from the platform's instance list.
+/// Removes \p id from the platform's instance list; does nothing if
+/// \p platform is empty.
 void RemoveInstance(const std::string& platform, const std::string& id);
 
 }  // namespace toucanwharf::standins
--- a/standins/engine/caches.cc
+++ b/standins/engine/caches.cc
@@ -7,8 +7,8 @@
 namespace toucanwharf::standins {
 namespace {
 
-constexpr std::size_t kMostEvents = 4096;
-constexpr std::size_t kMostCancelled = 4096;
+constexpr std::size_t kMaxEvents = 4096;
+constexpr std::size_t kMaxCancelled = 4096;
 
 }  // namespace
 
@@ -18,9 +18,9 @@
   for (const auto& [name, entry] : this->entries) {
     if (name != request) others += entry.reserved;
   }
-  if (others + tokens > this->limit) return false;
+  if (others + tokens > this->capacity) return false;
   this->entries[request].reserved = tokens;
-  this->MakeRoom();
+  this->EvictUnused();
   return true;
 }
 
@@ -41,7 +41,7 @@
   Entry& entry = this->entries[request];
   entry.tokens = tokens;
   entry.used_at = ++this->uses;
-  this->MakeRoom();
+  this->EvictUnused();
 }
 
 void KvCache::Drop(const std::string& request) {
@@ -53,22 +53,22 @@
   const std::lock_guard lock(this->mutex);
   std::uint64_t reserved = 0;
   for (const auto& [name, entry] : this->entries) reserved += entry.reserved;
-  return reserved > this->limit ? 0 : this->limit - reserved;
+  return reserved > this->capacity ? 0 : this->capacity - reserved;
 }
 
-void KvCache::MakeRoom() {
+void KvCache::EvictUnused() {
   const auto size = [](const Entry& entry) {
     return std::max(entry.tokens, entry.reserved);
   };
   std::uint64_t held = 0;
   for (const auto& [name, entry] : this->entries) held += size(entry);
-  while (held > this->limit) {
+  while (held > this->capacity) {
     auto oldest = this->entries.end();
-    for (auto at = this->entries.begin(); at != this->entries.end(); ++at) {
-      if (at->second.reserved > 0) continue;
+    for (auto it = this->entries.begin(); it != this->entries.end(); ++it) {
+      if (it->second.reserved > 0) continue;
       if (oldest == this->entries.end() ||
-          at->second.used_at < oldest->second.used_at) {
-        oldest = at;
+          it->second.used_at < oldest->second.used_at) {
+        oldest = it;
       }
     }
     if (oldest == this->entries.end()) return;
@@ -78,44 +78,44 @@
 }
 
 PrefixCache::PrefixCache(const EngineSettings& engine_settings)
-    : limit(engine_settings.prefix_blocks),
+    : capacity(engine_settings.prefix_blocks),
       lag(engine_settings.event_lag_ms),
-      gaps(engine_settings.event_gaps),
+      loss_ratio(engine_settings.event_gaps),
       random(HashText(engine_settings.id)) {}
 
-std::uint64_t PrefixCache::Use(std::string_view prompt) {
+std::uint64_t PrefixCache::LookupAndInsert(std::string_view prompt) {
   const std::lock_guard lock(this->mutex);
   std::uint64_t cached = 0;
   for (const std::uint64_t prefix : PrefixHashes(prompt)) {
-    if (this->places.contains(prefix)) {
+    if (this->positions.contains(prefix)) {
       cached += kPrefixBlockBytes / kBytesPerToken;
     }
-    this->Keep(prefix);
+    this->Insert(prefix);
   }
   return cached;
 }
 
-void PrefixCache::Keep(std::uint64_t prefix) {
-  const auto found = this->places.find(prefix);
-  if (found != this->places.end()) {
+void PrefixCache::Insert(std::uint64_t prefix) {
+  const auto found = this->positions.find(prefix);
+  if (found != this->positions.end()) {
     this->recent.splice(this->recent.begin(), this->recent, found->second);
     return;
   }
   this->recent.push_front(prefix);
-  this->places[prefix] = this->recent.begin();
+  this->positions[prefix] = this->recent.begin();
   this->Log(true, prefix);
-  if (this->recent.size() <= this->limit) return;
+  if (this->recent.size() <= this->capacity) return;
   this->Log(false, this->recent.back());
-  this->places.erase(this->recent.back());
+  this->positions.erase(this->recent.back());
   this->recent.pop_back();
 }
 
 void PrefixCache::Log(bool stored, std::uint64_t prefix) {
   ++this->sequence;
-  if (this->random.Unit() < this->gaps) return;
+  if (this->random.Unit() < this->loss_ratio) return;
   this->events.push_back(
       Event{this->sequence, stored, prefix, std::chrono::steady_clock::now()});
-  if (this->events.size() > kMostEvents) this->events.pop_front();
+  if (this->events.size() > kMaxEvents) this->events.pop_front();
 }
 
 nlohmann::json PrefixCache::Events(std::uint64_t after) {
@@ -137,7 +137,7 @@
   found->second = std::max(found->second, attempt);
   if (!added) return;
   this->order.push_back(request);
-  if (this->order.size() <= kMostCancelled) return;
+  if (this->order.size() <= kMaxCancelled) return;
   this->attempts.erase(this->order.front());
   this->order.pop_front();
 }
--- a/standins/engine/caches.h
+++ b/standins/engine/caches.h
@@ -19,26 +19,25 @@
 
 namespace toucanwharf::standins {
 
-/// KV memory, counted in tokens for each request. What no running answer
-/// holds stays until the room is needed, the longest unused first.
-/// Thread safety: all methods may be called at once from several threads.
+/// KV memory, counted in tokens for each request. Entries without a running
+/// answer are evicted when capacity is needed, least recently used first.
+/// Thread safety: safe; all methods may be called concurrently.
 class KvCache {
  public:
-  /// Makes a cache for \p most_tokens tokens.
-  explicit KvCache(std::uint64_t most_tokens) : limit(most_tokens) {}
+  explicit KvCache(std::uint64_t max_tokens) : capacity(max_tokens) {}
 
-  /// Reserves room for \p tokens tokens of a running answer; false if the
-  /// other running answers leave too little.
+  /// Reserves \p tokens tokens for a running answer; false if the reservations
+  /// of the other running answers leave too few.
   bool Reserve(const std::string& request, std::uint64_t tokens);
-  /// Ends the reservation; the tokens stay as long as there is room.
+  /// Ends the reservation; the tokens stay until they are evicted.
   void Release(const std::string& request);
-  /// Returns how many tokens of \p request are held.
+  /// Returns how many tokens of \p request are cached.
   std::uint64_t Held(const std::string& request);
-  /// Notes that \p tokens tokens of \p request are held now.
+  /// Records that \p tokens tokens of \p request are cached.
   void Store(const std::string& request, std::uint64_t tokens);
-  /// Forgets \p request.
+  /// Removes the entry of \p request.
   void Drop(const std::string& request);
-  /// Returns the tokens that new answers may reserve.
+  /// Returns how many tokens are not reserved.
   std::uint64_t Free();
 
  private:
@@ -48,25 +47,27 @@
     std::uint64_t used_at = 0;
   };
 
-  void MakeRoom();
+  void EvictUnused();
 
   std::mutex mutex;
-  std::uint64_t limit;
+  std::uint64_t capacity;
   std::uint64_t uses = 0;
   std::map<std::string, Entry> entries;
 };
 
-/// Cache of prompt prefixes, in blocks, with a log of what came and went.
-/// Thread safety: all methods may be called at once from several threads.
+/// LRU cache of prompt prefixes, in blocks, with a log of insertions and
+/// evictions.
+/// Thread safety: safe; all methods may be called concurrently.
 class PrefixCache {
  public:
-  /// Takes size, lag and gaps from \p engine_settings.
+  /// Takes size, event lag and event loss from \p engine_settings.
   explicit PrefixCache(const EngineSettings& engine_settings);
 
-  /// Returns the prompt's tokens that are cached already, and keeps all of its
+  /// Returns how many tokens of \p prompt were cached, and inserts all of its
   /// prefixes.
-  std::uint64_t Use(std::string_view prompt);
-  /// Returns the log after sequence number \p after, late and with gaps.
+  std::uint64_t LookupAndInsert(std::string_view prompt);
+  /// Returns the events after sequence number \p after that are older than the
+  /// lag. Some events are missing, as configured.
   nlohmann::json Events(std::uint64_t after);
 
  private:
@@ -79,25 +80,26 @@
   };
 
   void Log(bool stored, std::uint64_t prefix);
-  void Keep(std::uint64_t prefix);
+  void Insert(std::uint64_t prefix);
 
   std::mutex mutex;
-  std::size_t limit;
+  std::size_t capacity;
   std::chrono::milliseconds lag;
-  double gaps;
+  double loss_ratio;
   Random random;
   std::uint64_t sequence = 0;
   std::deque<Event> events;
   /// Most recently used first.
   std::list<std::uint64_t> recent;
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places;
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
+      positions;
 };
 
-/// Answers whose caller has given up.
-/// Thread safety: all methods may be called at once from several threads.
+/// Answers that were cancelled.
+/// Thread safety: safe; all methods may be called concurrently.
 class CancelledSet {
  public:
-  /// Notes that \p attempt and all earlier ones of \p request are cancelled.
+  /// Cancels \p attempt and all earlier attempts of \p request.
   void Cancel(const std::string& request, std::uint64_t attempt);
   /// Returns whether \p attempt of \p request was cancelled.
   bool Contains(const std::string& request, std::uint64_t attempt);
--- a/standins/engine/engine.cc
+++ b/standins/engine/engine.cc
@@ -11,7 +11,7 @@
 
 constexpr int kForwardTimeoutMs = 30000;
 constexpr std::chrono::milliseconds kStallPoll{5};
-constexpr int kKilled = 137;
+constexpr int kExitKilled = 137;
 
 nlohmann::json TraceJson(const std::vector<LayerRange>& trace) {
   nlohmann::json list = nlohmann::json::array();
@@ -33,8 +33,8 @@
       loader(engine_settings),
       kv(engine_settings.kv_tokens),
       prefixes(engine_settings),
-      answers(engine_settings.slots, engine_settings.queue_limit),
-      batch(engine_settings.slots, Slots::kNoLimit) {
+      answer_slots(engine_settings.slots, engine_settings.queue_limit),
+      batch_slots(engine_settings.slots, Slots::kNoLimit) {
   this->RefreshReport();
 }
 
@@ -86,12 +86,13 @@
 }
 
 void Engine::RefreshReport() {
-  const nlohmann::json fresh = {{"running", this->answers.Used()},
-                                {"queued_tokens", this->queued_tokens.load()},
-                                {"tokens_per_second", this->TokensPerSecond()},
-                                {"kv_tokens_free", this->kv.Free()}};
+  const nlohmann::json new_report = {
+      {"running", this->answer_slots.UsedCount()},
+      {"queued_tokens", this->queued_tokens.load()},
+      {"tokens_per_second", this->TokensPerSecond()},
+      {"kv_tokens_free", this->kv.Free()}};
   const std::lock_guard lock(this->report_mutex);
-  this->report = fresh;
+  this->report = new_report;
   this->report_time = std::chrono::steady_clock::now();
 }
 
@@ -146,7 +147,7 @@
 }
 
 HttpReply Engine::SetFaults(const nlohmann::json& body) {
-  if (body.value("die", false)) _exit(kKilled);
+  if (body.value("die", false)) _exit(kExitKilled);
   this->slow_factor = body.value("slow_factor", this->slow_factor.load());
   this->stall = body.value("stall", this->stall.load());
   this->leaving = body.value("leaving", this->leaving.load());
@@ -168,18 +169,18 @@
 void Engine::Compute(const Step& step, std::uint32_t layers) {
   const std::uint64_t needed = step.prompt_tokens + step.index;
   std::uint64_t held = this->kv.Held(step.request);
-  if (held == 0) held = this->prefixes.Use(step.prompt);
+  if (held == 0) held = this->prefixes.LookupAndInsert(step.prompt);
   const std::uint64_t missing = needed > held ? needed - held : 0;
   const std::uint64_t prefill =
       missing > 1 ? missing * this->settings.prefill_micros : 0;
-  this->batch.Enter(0);
+  this->batch_slots.Acquire(0);
   this->SleepFor(prefill + layers * this->settings.layer_micros);
-  this->batch.Leave();
+  this->batch_slots.Release();
   this->kv.Store(step.request, needed);
 }
 
 StepResult Engine::Run(const Step& step, HttpClient& client,
-                       const CancelFlag& given_up) {
+                       const CancelFlag& caller_cancelled) {
   const LayerRange layers = step.stages.front().layers;
   if (!this->loader.Serves(step.weights, layers)) {
     return Failed(step.stage, "other weights or layers are loaded");
@@ -197,7 +198,7 @@
   next.stages.erase(next.stages.begin());
   const HttpAnswer answer = client.Call(
       "POST", "http://" + next.stages.front().address + "/v1/forward",
-      next.Json().dump(), kForwardTimeoutMs, &given_up);
+      next.Json().dump(), kForwardTimeoutMs, &caller_cancelled);
   const nlohmann::json body = answer.Json();
   if (answer.status != 200 || !body.is_object()) {
     if (!body.is_object()) return Failed(next.stage, "the stage is lost");
@@ -205,21 +206,21 @@
                   body.value("error", "the stage failed"));
   }
   result.state = body.at("state").get<std::uint64_t>();
-  for (const nlohmann::json& part : body.at("trace")) {
-    result.trace.push_back(LayerRange{part.at(0), part.at(1)});
+  for (const nlohmann::json& range : body.at("trace")) {
+    result.trace.push_back(LayerRange{range.at(0), range.at(1)});
   }
   return result;
 }
 
 HttpReply Engine::Forward(const HttpRequest& request) {
   thread_local HttpClient client;
-  const CancelFlag never{false};
+  const CancelFlag not_cancelled{false};
   const auto delay =
       std::chrono::microseconds(this->settings.link_delay_micros) +
       std::chrono::milliseconds(this->forward_delay_ms.load());
   std::this_thread::sleep_for(delay);
   const Step step = Step::From(request.Json());
-  const StepResult result = this->Run(step, client, never);
+  const StepResult result = this->Run(step, client, not_cancelled);
   std::this_thread::sleep_for(delay);
   if (!result.error.empty()) {
     return JsonReply(409,
@@ -231,11 +232,11 @@
 
 nlohmann::json Step::Json() const {
   nlohmann::json list = nlohmann::json::array();
-  for (const Stage& at : this->stages) {
-    list.push_back({{"instance", at.instance},
-                    {"address", at.address},
-                    {"begin", at.layers.begin},
-                    {"end", at.layers.end}});
+  for (const Stage& stage : this->stages) {
+    list.push_back({{"instance", stage.instance},
+                    {"address", stage.address},
+                    {"begin", stage.layers.begin},
+                    {"end", stage.layers.end}});
   }
   return {{"request", this->request},
           {"attempt", this->attempt},
@@ -262,10 +263,10 @@
   step.index = body.value("index", std::uint64_t{0});
   step.state = body.value("state", std::uint64_t{0});
   step.stage = body.value("stage", std::uint32_t{0});
-  for (const nlohmann::json& at : body.at("stages")) {
-    step.stages.push_back(Stage{at.value("instance", ""),
-                                at.value("address", ""),
-                                LayerRange{at.at("begin"), at.at("end")}});
+  for (const nlohmann::json& entry : body.at("stages")) {
+    step.stages.push_back(
+        Stage{entry.value("instance", ""), entry.value("address", ""),
+              LayerRange{entry.at("begin"), entry.at("end")}});
   }
   if (step.stages.empty()) body.at("stages").at(0);
   return step;
--- a/standins/engine/engine.h
+++ b/standins/engine/engine.h
@@ -26,65 +26,61 @@
   LayerRange layers;
 };
 
-/// One token on its way through the stages that are left.
+/// The computation of one token by the remaining stages of a plan.
 struct Step {
   std::string request;
   std::uint64_t attempt = 0;
   Weights weights;
-  /// Only with the first token of an attempt.
+  /// Only set for the first token of an attempt.
   std::string prompt;
   std::uint64_t prompt_tokens = 0;
   std::uint64_t index = 0;
   std::uint64_t state = 0;
-  /// Place of the first stage of `stages` in the whole plan.
+  /// Index of the first element of `stages` in the whole plan.
   std::uint32_t stage = 0;
   std::vector<Stage> stages;
 
-  /// Returns the form that engines send each other.
+  /// Returns the JSON body that engines send each other.
   nlohmann::json Json() const;
-  /// Reads what Json made; throws nlohmann::json::exception otherwise.
+  /// Parses the result of Json. Throws nlohmann::json::exception on any error.
   static Step From(const nlohmann::json& body);
 };
 
-/// What a step through all stages that were left gave.
+/// Result of a step through all remaining stages.
 struct StepResult {
-  /// Empty if it worked.
+  /// Empty on success.
   std::string error;
   std::uint32_t failed_stage = 0;
   std::uint64_t state = 0;
   std::vector<LayerRange> trace;
 };
 
-/// Returns whether the caller has given up.
+/// Set when the caller has cancelled the request.
 using CancelFlag = std::atomic<bool>;
 
-/// A model engine that holds a range of layers and keeps time like one.
-/// Thread safety: all methods may be called at once from several threads.
+/// A simulated model engine that holds a range of layers. It takes the time
+/// that its settings give for each token and layer.
+/// Thread safety: safe; all methods may be called concurrently.
 class Engine {
  public:
-  /// Starts with \p engine_settings.
   explicit Engine(const EngineSettings& engine_settings);
 
-  /// Answers one call.
+  /// Handles one call.
   HttpReply Handle(const HttpRequest& request);
-  /// Runs this engine's layers, then sends the step on through \p client.
+  /// Runs this engine's layers, then forwards the step through \p client.
   StepResult Run(const Step& step, HttpClient& client,
-                 const CancelFlag& cancelled);
-  /// Returns the loaded state.
+                 const CancelFlag& caller_cancelled);
   Loader& Loaded() { return this->loader; }
-  /// Returns the KV memory.
   KvCache& Kv() { return this->kv; }
-  /// Returns the places of running answers.
-  Slots& Answers() { return this->answers; }
-  /// Returns the set of answers that were given up.
+  /// Returns the slots that limit the running answers.
+  Slots& AnswerSlots() { return this->answer_slots; }
   CancelledSet& Cancelled() { return this->cancelled; }
-  /// Returns whether the engine takes no new answers.
+  /// Returns whether the engine refuses new answers.
   bool Leaving() const { return this->leaving; }
-  /// Adds to the tokens that wait for a place.
+  /// Adds \p tokens, which may be negative, to the tokens waiting for a slot.
   void AddQueued(std::int64_t tokens) { this->queued_tokens += tokens; }
-  /// Takes the load report anew; to be called once each report lag.
+  /// Updates the load report; to be called once every report lag.
   void RefreshReport();
-  /// Returns the settings.
   const EngineSettings& Settings() const { return this->settings; }
 
  private:
@@ -105,8 +101,8 @@
   KvCache kv;
   PrefixCache prefixes;
   CancelledSet cancelled;
-  Slots answers;
-  Slots batch;
+  Slots answer_slots;
+  Slots batch_slots;
   std::atomic<std::int64_t> queued_tokens{0};
   std::atomic<double> slow_factor{1.0};
   std::atomic<bool> stall{false};
--- a/standins/engine/generation.cc
+++ b/standins/engine/generation.cc
@@ -19,28 +19,28 @@
   return "data: " + body.dump() + "\n\n";
 }
 
-/// One running answer; holds its place and its KV memory until it is gone.
+/// One running answer. Holds a slot and its KV reservation until destroyed.
 class Generation {
  public:
-  Generation(Engine& head, Step first, std::uint64_t sampling_seed,
-             std::vector<std::string> tokens_so_far, std::uint64_t most_tokens)
-      : engine(head),
+  Generation(Engine& first_engine, Step first, std::uint64_t sampling_seed,
+             std::vector<std::string> tokens_so_far, std::uint64_t token_limit)
+      : engine(first_engine),
         step(std::move(first)),
         seed(sampling_seed),
         tokens(std::move(tokens_so_far)),
-        max_tokens(most_tokens),
+        max_tokens(token_limit),
         prompt(this->step.prompt) {}
 
   ~Generation() {
     this->engine.Kv().Release(this->step.request);
-    this->engine.Answers().Leave();
+    this->engine.AnswerSlots().Release();
   }
   Generation(const Generation&) = delete;
   Generation& operator=(const Generation&) = delete;
 
-  /// Makes the next event; nothing once the answer has ended.
+  /// Returns the next event, or nullopt once the answer has ended.
   std::optional<std::string> Next() {
-    if (this->ended || this->tokens.size() >= this->max_tokens) {
+    if (this->finished || this->tokens.size() >= this->max_tokens) {
       return std::nullopt;
     }
     if (this->engine.Cancelled().Contains(this->step.request,
@@ -48,9 +48,9 @@
       return this->End("cancelled", this->step.stage);
     }
     this->step.index = this->tokens.size();
-    this->step.state = FirstState(this->seed, this->prompt, this->tokens);
+    this->step.state = InitialState(this->seed, this->prompt, this->tokens);
     const StepResult result =
-        this->engine.Run(this->step, this->client, this->given_up);
+        this->engine.Run(this->step, this->client, this->caller_cancelled);
     if (!result.error.empty()) {
       return this->End(result.error, result.failed_stage);
     }
@@ -61,8 +61,8 @@
  private:
   std::string Token(const StepResult& result) {
     nlohmann::json trace = nlohmann::json::array();
-    for (const LayerRange& part : result.trace) {
-      trace.push_back({part.begin, part.end});
+    for (const LayerRange& range : result.trace) {
+      trace.push_back({range.begin, range.end});
     }
     this->tokens.push_back(TokenOf(result.state));
     return Event({{"request", this->step.request},
@@ -74,7 +74,7 @@
   }
 
   std::string End(const std::string& error, std::uint32_t stage) {
-    this->ended = true;
+    this->finished = true;
     return Event({{"request", this->step.request},
                   {"attempt", this->step.attempt},
                   {"error", error},
@@ -88,12 +88,12 @@
   std::uint64_t max_tokens;
   std::string prompt;
   HttpClient client;
-  CancelFlag given_up{false};
-  bool ended = false;
+  CancelFlag caller_cancelled{false};
+  bool finished = false;
 };
 
-/// The stages must follow each other without gap or overlap from layer 0.
-bool Contiguous(const std::vector<Stage>& stages) {
+/// Returns whether the stages start at layer 0 and have no gap or overlap.
+bool IsContiguous(const std::vector<Stage>& stages) {
   std::uint32_t next = 0;
   for (const Stage& stage : stages) {
     if (stage.layers.begin != next || stage.layers.end <= next) return false;
@@ -112,18 +112,18 @@
   if (first_index != tokens.size()) {
     return Refuse(400, "first_index must be the number of tokens");
   }
-  if (!Contiguous(step.stages)) return Refuse(409, "the stages leave gaps");
+  if (!IsContiguous(step.stages)) return Refuse(409, "the stages leave gaps");
   if (engine.Leaving()) return Refuse(409, "leaving");
   if (!engine.Loaded().Serves(step.weights, step.stages.front().layers)) {
     return Refuse(409, "other weights or layers are loaded");
   }
-  const auto wanted = static_cast<std::int64_t>(max_tokens - first_index);
-  engine.AddQueued(wanted);
-  const bool entered = engine.Answers().Enter(body.value("priority", 0));
-  engine.AddQueued(-wanted);
-  if (!entered) return Refuse(429, "no slot");
+  const auto new_tokens = static_cast<std::int64_t>(max_tokens - first_index);
+  engine.AddQueued(new_tokens);
+  const bool acquired = engine.AnswerSlots().Acquire(body.value("priority", 0));
+  engine.AddQueued(-new_tokens);
+  if (!acquired) return Refuse(429, "no slot");
   if (!engine.Kv().Reserve(step.request, step.prompt_tokens + max_tokens)) {
-    engine.Answers().Leave();
+    engine.AnswerSlots().Release();
     return Refuse(429, "no KV memory");
   }
   auto generation = std::make_shared<Generation>(
--- a/standins/engine/generation.h
+++ b/standins/engine/generation.h
@@ -8,8 +8,8 @@
 
 namespace toucanwharf::standins {
 
-/// Answers `POST /v1/generate` on the engine of the first stage: refuses, or
-/// waits for a place and streams one event per token.
+/// Handles `POST /v1/generate` on the engine of the first stage: refuses, or
+/// waits for a slot and streams one event per token.
 /// Thread safety: safe.
 HttpReply StartGeneration(Engine& engine, const nlohmann::json& body);
 
--- a/standins/engine/loader.h
+++ b/standins/engine/loader.h
@@ -12,30 +12,29 @@
 
 namespace toucanwharf::standins {
 
-/// What the engine holds, and the orders that change it. An order takes the
-/// time that the weight store needs; what was loaded serves until then.
-/// Thread safety: all methods may be called at once from several threads.
+/// The loaded weights, and the orders that change them. An order takes the time
+/// that the weight store needs; until then the previous weights are served.
+/// Thread safety: safe; all methods may be called concurrently.
 class Loader {
  public:
-  /// Starts with the load of \p engine_settings.
   explicit Loader(const EngineSettings& engine_settings);
 
-  /// Takes the order \p body; false if its fencing number is old and this
-  /// engine checks it.
+  /// Accepts the order \p body; false if the engine checks fencing numbers and
+  /// that of the order is lower than the highest one seen.
   bool Order(const nlohmann::json& body);
-  /// Returns what is held now.
+  /// Returns the weights that are loaded now.
   Load Current();
-  /// Returns whether an order is still being carried out.
+  /// Returns whether an order is in progress.
   bool Loading();
   /// Returns the highest fencing number seen.
   std::uint64_t FencingNumber();
-  /// Returns whether \p weights, with just the layers \p layers, is held.
+  /// Returns whether \p weights are loaded with exactly \p layers.
   bool Serves(const Weights& weights, const LayerRange& layers);
 
  private:
   using TimePoint = std::chrono::steady_clock::time_point;
 
-  void Settle();
+  void ApplyFinishedLoad();
 
   std::mutex mutex;
   bool checks_fencing;
@@ -43,7 +42,7 @@
   std::uint64_t fencing_number = 0;
   Load current;
   std::optional<Load> next;
-  TimePoint ready;
+  TimePoint ready_at;
 };
 
 }  // namespace toucanwharf::standins
--- a/standins/engine/main.cc
+++ b/standins/engine/main.cc
@@ -23,7 +23,7 @@
 }
 
 cxxopts::Options MakeOptions() {
-  const EngineSettings base;
+  const EngineSettings defaults;
   cxxopts::Options options("standin_engine", "stand-in for a model engine");
   options.add_options()("help", "print this")("layers", "BEGIN-END",
                                               cxxopts::value<std::string>())(
@@ -32,26 +32,28 @@
   Option<std::string>(options, "listen", "127.0.0.1:0", "127.0.0.1:PORT");
   Option<std::string>(options, "platform", "",
                       "IP:PORT of the platform to register with");
-  Option<std::string>(options, "id", base.id, "instance id");
+  Option<std::string>(options, "id", defaults.id, "instance id");
   Option<std::string>(options, "failure-domain", "", "failure domain");
-  Option<std::string>(options, "accelerator", base.accelerator, "kind");
+  Option<std::string>(options, "accelerator", defaults.accelerator, "kind");
   Option<std::string>(options, "model", "model", "name of the model");
   Option<std::string>(options, "version", "v1", "name of the version");
-  Option<std::string>(options, "fencing", base.fencing,
+  Option<std::string>(options, "fencing", defaults.fencing,
                       "checked, ignored or unknown");
-  Option(options, "layer-micros", base.layer_micros, "time per layer");
-  Option(options, "prefill-micros", base.prefill_micros,
+  Option(options, "layer-micros", defaults.layer_micros, "time per layer");
+  Option(options, "prefill-micros", defaults.prefill_micros,
          "time per prompt token");
-  Option(options, "slots", base.slots, "answers in one batch");
-  Option(options, "queue-limit", base.queue_limit, "answers that may wait");
-  Option(options, "kv-tokens", base.kv_tokens, "KV memory");
-  Option(options, "kv-import-micros", base.kv_import_micros, "per token");
-  Option(options, "prefix-blocks", base.prefix_blocks, "prefix cache size");
-  Option(options, "load-millis", base.load_millis, "weight store, per layer");
-  Option(options, "report-lag-ms", base.report_lag_ms, "age of load reports");
-  Option(options, "event-lag-ms", base.event_lag_ms, "age of cache events");
-  Option(options, "event-gaps", base.event_gaps, "share of events lost");
-  Option(options, "link-delay-micros", base.link_delay_micros,
+  Option(options, "slots", defaults.slots, "answers in one batch");
+  Option(options, "queue-limit", defaults.queue_limit, "answers that may wait");
+  Option(options, "kv-tokens", defaults.kv_tokens, "KV memory");
+  Option(options, "kv-import-micros", defaults.kv_import_micros, "per token");
+  Option(options, "prefix-blocks", defaults.prefix_blocks, "prefix cache size");
+  Option(options, "load-millis", defaults.load_millis,
+         "weight store, per layer");
+  Option(options, "report-lag-ms", defaults.report_lag_ms,
+         "age of load reports");
+  Option(options, "event-lag-ms", defaults.event_lag_ms, "age of cache events");
+  Option(options, "event-gaps", defaults.event_gaps, "share of events lost");
+  Option(options, "link-delay-micros", defaults.link_delay_micros,
          "one way, between engines");
   return options;
 }
--- a/standins/engine/settings.h
+++ b/standins/engine/settings.h
@@ -18,13 +18,13 @@
   friend bool operator==(const LayerRange&, const LayerRange&) = default;
   /// Returns the number of layers.
   std::uint32_t Count() const { return this->end - this->begin; }
-  /// Returns the form of docs/PROTOCOLS.md.
+  /// Returns the JSON form specified in docs/PROTOCOLS.md.
   nlohmann::json Json() const {
     return {{"begin", this->begin}, {"end", this->end}};
   }
 };
 
-/// What an engine holds, or is to load.
+/// The weights that an engine holds or is to load.
 struct Load {
   std::string model;
   std::string version;
@@ -34,27 +34,27 @@
   friend bool operator==(const Load&, const Load&) = default;
 };
 
-/// The speeds, limits and habits of one stand-in engine.
+/// The simulated speeds, limits and faults of one stand-in engine.
 struct EngineSettings {
   std::string id = "engine";
   std::string failure_domain;
   std::string accelerator = "a";
   Load load;
   std::uint64_t layer_micros = 500;
-  /// Prefill of one prompt token through all of the engine's layers.
+  /// Time to prefill one prompt token through all of the engine's layers.
   std::uint64_t prefill_micros = 20;
   std::uint32_t slots = 8;
   std::uint32_t queue_limit = 16;
   std::uint64_t kv_tokens = 65536;
   std::uint64_t kv_import_micros = 2;
   std::size_t prefix_blocks = 256;
-  /// Time that the weight store needs for one layer, or for one adapter.
+  /// Time to load one layer or one adapter from the weight store.
   std::uint64_t load_millis = 20;
   std::uint64_t report_lag_ms = 100;
   std::uint64_t event_lag_ms = 200;
-  /// Share of the cache events that never show.
+  /// Fraction of cache events that are lost, from 0 to 1.
   double event_gaps = 0.0;
-  /// "checked", "ignored" or "unknown".
+  /// How fencing numbers are handled: "checked", "ignored" or "unknown".
   std::string fencing = "checked";
   std::uint64_t link_delay_micros = 0;
 };
--- a/standins/engine/slots.h
+++ b/standins/engine/slots.h
@@ -10,43 +10,46 @@
 
 namespace toucanwharf::standins {
 
-/// A number of places, and a queue before them by priority, then by arrival.
-/// Thread safety: all methods may be called at once from several threads.
+/// A counting semaphore with a bounded queue, ordered by priority and then by
+/// arrival.
+/// Thread safety: safe; all methods may be called concurrently.
 class Slots {
  public:
-  /// Makes \p places places; at most \p queue_limit callers wait.
-  Slots(std::uint32_t places, std::uint32_t queue_limit)
-      : free(places), most_waiting(queue_limit) {}
+  /// Makes \p count slots; at most \p queue_limit callers wait.
+  Slots(std::uint32_t count, std::uint32_t queue_limit)
+      : free_count(count), max_waiting(queue_limit) {}
 
-  /// Takes a place, waiting for one; false at once if the queue is full.
-  bool Enter(int priority) {
+  /// Acquires a slot, blocking until one is free; returns false immediately if
+  /// none is free and the queue is full.
+  bool Acquire(int priority) {
     std::unique_lock lock(this->mutex);
-    if (this->free == 0 && this->waiting.size() >= this->most_waiting) {
+    if (this->free_count == 0 && this->waiting.size() >= this->max_waiting) {
       return false;
     }
-    const auto mine =
+    const auto ticket =
         this->waiting.insert(std::pair(-priority, this->next_ticket++)).first;
-    this->changed.wait(
-        lock, [&] { return this->free > 0 && mine == this->waiting.begin(); });
-    this->waiting.erase(mine);
-    --this->free;
-    ++this->used;
+    this->changed.wait(lock, [&] {
+      return this->free_count > 0 && ticket == this->waiting.begin();
+    });
+    this->waiting.erase(ticket);
+    --this->free_count;
+    ++this->used_count;
     this->changed.notify_all();
     return true;
   }
 
-  /// Gives a place back. Precondition: Enter returned true before.
-  void Leave() {
+  /// Releases a slot. Precondition: a call of Acquire returned true.
+  void Release() {
     const std::lock_guard lock(this->mutex);
-    ++this->free;
-    --this->used;
+    ++this->free_count;
+    --this->used_count;
     this->changed.notify_all();
   }
 
-  /// Returns the number of places taken.
-  std::uint32_t Used() {
+  /// Returns the number of slots in use.
+  std::uint32_t UsedCount() {
     const std::lock_guard lock(this->mutex);
-    return this->used;
+    return this->used_count;
   }
 
   static constexpr std::uint32_t kNoLimit =
@@ -57,9 +60,9 @@
   std::condition_variable changed;
   std::set<std::pair<int, std::uint64_t>> waiting;
   std::uint64_t next_ticket = 0;
-  std::uint32_t free;
-  std::uint32_t used = 0;
-  std::uint32_t most_waiting;
+  std::uint32_t free_count;
+  std::uint32_t used_count = 0;
+  std::uint32_t max_waiting;
 };
 
 }  // namespace toucanwharf::standins
--- a/standins/fleet/endpoints.cc
+++ b/standins/fleet/endpoints.cc
@@ -14,8 +14,8 @@
 using Json = nlohmann::json;
 
 constexpr int kAccepted = 202;
-/// Most layers that any engine here holds.
-constexpr std::uint32_t kMostLayers = 6;
+/// Maximum number of layers that an engine of the fleet can hold.
+constexpr std::uint32_t kMaxLayers = 6;
 
 http::ResponseHead HeadOf(int status, const http::Request& request) {
   http::ResponseHead head;
@@ -89,7 +89,7 @@
   this->endpoints.erase(found);
 }
 
-Endpoints::Endpoint* Endpoints::AtAddress(const std::string& address) {
+Endpoints::Endpoint* Endpoints::FindByAddress(const std::string& address) {
   for (auto& [id, endpoint] : this->endpoints) {
     if (endpoint.spec.address == address) return &endpoint;
   }
@@ -99,8 +99,8 @@
 void Endpoints::Handle(const std::string& id,
                        std::shared_ptr<http::Exchange> exchange) {
   Endpoint& endpoint = this->endpoints.at(id);
-  if (endpoint.fault == EndpointFault::kDark) {
-    endpoint.held.push_back(std::move(exchange));
+  if (endpoint.fault == EndpointFault::kUnresponsive) {
+    endpoint.unanswered.push_back(std::move(exchange));
     return;
   }
   const http::Request& request = exchange->Received();
@@ -128,7 +128,7 @@
 }
 
 std::string Endpoints::IdAt(const std::string& address) {
-  const Endpoint* endpoint = this->AtAddress(address);
+  const Endpoint* endpoint = this->FindByAddress(address);
   return endpoint == nullptr ? "" : endpoint->spec.id;
 }
 
@@ -137,9 +137,9 @@
   Json stalled = Json::array();
   for (const auto& stream : this->streams) {
     if (stream->endpoint != endpoint.spec.id) continue;
-    const std::string at = this->Hindrance(stream->path);
-    if (at.empty() || !this->name_stalls) continue;
-    stalled.push_back({{"id", stream->request_id}, {"addr", at}});
+    const std::string address = this->UnresponsiveAddress(stream->path);
+    if (address.empty() || !this->report_stalls) continue;
+    stalled.push_back({{"id", stream->request_id}, {"addr", address}});
   }
   const Json body = {
       {"kind", endpoint.spec.kind},
@@ -158,8 +158,8 @@
   const http::Request& request = exchange.Received();
   const Json body = Json::parse(request.body, nullptr, false);
   if (body.value("op", "") == "repath") {
-    ++this->repaths;
-    const bool refuses = endpoint.fault == EndpointFault::kRefusesRepath;
+    ++this->reroutes;
+    const bool refuses = endpoint.fault == EndpointFault::kRefusesReroute;
     for (const auto& stream : this->streams) {
       if (refuses || stream->request_id != body.value("id", "")) continue;
       stream->path = this->ParsePath(body.value("path", ""));
@@ -176,7 +176,7 @@
   }
   endpoint.layers = {body.at("from").get<std::uint32_t>(),
                      body.at("target").get<std::uint32_t>()};
-  if (endpoint.layers.Count() > kMostLayers) {
+  if (endpoint.layers.Count() > kMaxLayers) {
     this->violations.push_back(endpoint.spec.id + " was ordered too much");
   }
   ++endpoint.sequence;
@@ -211,43 +211,44 @@
   const bool fails = endpoint.fault == EndpointFault::kFails;
   http::ResponseHead head =
       HeadOf(fails ? http::kServerError : http::kOk, request);
-  if (endpoint.fault == EndpointFault::kSendsOthersAnswer) {
+  if (endpoint.fault == EndpointFault::kSendsForeignAnswer) {
     head.headers.Set("X-Request-Id", "of-another-request");
   }
   head.headers.Add("X-Server-Stamp", "stamp-of-" + endpoint.spec.id);
   exchange.Respond(head, "ran at " + endpoint.spec.id);
 }
 
-std::vector<Endpoints::Part> Endpoints::ParsePath(
+std::vector<Endpoints::Stage> Endpoints::ParsePath(
     const std::string& text) const {
-  std::vector<Part> path;
-  for (const absl::string_view each : absl::StrSplit(text, ',')) {
-    const std::vector<std::string> sides = absl::StrSplit(each, '=');
-    if (sides.size() != 2) continue;
-    const std::vector<std::string> ends = absl::StrSplit(sides[1], '-');
-    Part part;
-    part.address = sides[0];
-    if (ends.size() == 2) {
-      (void)absl::SimpleAtoi(ends[0], &part.layers.begin);
-      (void)absl::SimpleAtoi(ends[1], &part.layers.end);
+  std::vector<Stage> path;
+  for (const absl::string_view text_part : absl::StrSplit(text, ',')) {
+    const std::vector<std::string> fields = absl::StrSplit(text_part, '=');
+    if (fields.size() != 2) continue;
+    const std::vector<std::string> bounds = absl::StrSplit(fields[1], '-');
+    Stage stage;
+    stage.address = fields[0];
+    if (bounds.size() == 2) {
+      (void)absl::SimpleAtoi(bounds[0], &stage.layers.begin);
+      (void)absl::SimpleAtoi(bounds[1], &stage.layers.end);
     }
-    path.push_back(std::move(part));
+    path.push_back(std::move(stage));
   }
   return path;
 }
 
-void Endpoints::CheckCover(const std::vector<Part>& path) {
+void Endpoints::CheckCover(const std::vector<Stage>& path) {
   std::vector<pipeline::LayerRange> ranges;
-  for (const Part& part : path) ranges.push_back(part.layers);
+  for (const Stage& stage : path) ranges.push_back(stage.layers);
   if (pipeline::IsExactCover(ranges, this->layers)) return;
   this->violations.emplace_back("a path is no exact cover");
 }
 
-std::string Endpoints::Hindrance(const std::vector<Part>& path) {
-  for (const Part& part : path) {
-    const Endpoint* endpoint = this->AtAddress(part.address);
-    if (endpoint == nullptr || endpoint->fault == EndpointFault::kDark) {
-      return part.address;
+std::string Endpoints::UnresponsiveAddress(const std::vector<Stage>& path) {
+  for (const Stage& stage : path) {
+    const Endpoint* endpoint = this->FindByAddress(stage.address);
+    if (endpoint == nullptr ||
+        endpoint->fault == EndpointFault::kUnresponsive) {
+      return stage.address;
     }
   }
   return {};
@@ -258,14 +259,15 @@
   const http::Request& request = exchange->Received();
   const auto path =
       this->ParsePath(std::string(request.headers.Get("X-Hop-Count")));
-  for (const Part& part : path) {
-    const Endpoint* at = this->AtAddress(part.address);
-    const bool holds = at != nullptr && at->layers.begin <= part.layers.begin &&
-                       at->layers.end >= part.layers.end;
+  for (const Stage& stage : path) {
+    const Endpoint* engine = this->FindByAddress(stage.address);
+    const bool holds = engine != nullptr &&
+                       engine->layers.begin <= stage.layers.begin &&
+                       engine->layers.end >= stage.layers.end;
     if (holds) continue;
     http::ResponseHead head = HeadOf(http::kMisdirected, request);
     head.headers.Add("X-Not-Run", "1");
-    head.headers.Add("At-Server", part.address);
+    head.headers.Add("At-Server", stage.address);
     exchange->Respond(head, "");
     return;
   }
@@ -290,20 +292,20 @@
     if (const auto gone = weak.lock()) this->streams.erase(gone);
   });
   exchange->Begin(head);
-  this->Step(stream);
+  this->SendNextEvent(stream);
 }
 
-void Endpoints::Step(const std::shared_ptr<Stream>& stream) {
+void Endpoints::SendNextEvent(const std::shared_ptr<Stream>& stream) {
   if (!this->streams.contains(stream)) return;
-  const auto again = [this, stream] { this->Step(stream); };
-  if (!this->Hindrance(stream->path).empty()) {
-    this->loop.After(kEventGap, again);
+  const auto send_next = [this, stream] { this->SendNextEvent(stream); };
+  if (!this->UnresponsiveAddress(stream->path).empty()) {
+    this->loop.After(kEventGap, send_next);
     return;
   }
   const Endpoint& endpoint = this->endpoints.at(stream->endpoint);
-  constexpr int kBreakAt = kEvents / 2;
-  if (endpoint.fault == EndpointFault::kBreaksEvent &&
-      stream->next == kBreakAt) {
+  constexpr int kTruncatedEvent = kEvents / 2;
+  if (endpoint.fault == EndpointFault::kTruncatesEvent &&
+      stream->next == kTruncatedEvent) {
     stream->exchange->Write("id: 10\nda");
     stream->exchange->Abort();
     this->streams.erase(stream);
@@ -315,7 +317,7 @@
     this->streams.erase(stream);
     return;
   }
-  this->loop.After(kEventGap, again);
+  this->loop.After(kEventGap, send_next);
 }
 
 }  // namespace toucanwharf::standins::fleet
--- a/standins/fleet/endpoints.h
+++ b/standins/fleet/endpoints.h
@@ -15,7 +15,7 @@
 
 namespace toucanwharf::standins::fleet {
 
-/// One endpoint to start.
+/// Description of an endpoint to start.
 struct EndpointSpec {
   std::string id;
   std::string service;
@@ -25,26 +25,27 @@
   std::string kind;
 };
 
-/// What an endpoint does wrong.
+/// Fault injected into an endpoint.
 enum class EndpointFault {
   kNone,
-  /// Takes connections and says nothing; what runs through it stands still.
-  kDark,
-  /// Refuses every request as not run.
+  /// Accepts connections and never responds; answers whose path includes it
+  /// stall.
+  kUnresponsive,
+  /// Refuses every request and reports it as not run.
   kFull,
-  /// Runs the request and closes without an answer.
+  /// Runs the request and closes the connection without a response.
   kLosesAnswers,
-  /// Runs the request and answers 500.
+  /// Runs the request and responds with 500.
   kFails,
-  /// Before the answer, sends one that belongs to another request.
-  kSendsOthersAnswer,
-  /// Breaks a stream off in the middle of an event.
-  kBreaksEvent,
-  /// Refuses a change of path.
-  kRefusesRepath,
+  /// Sends a response that carries the id of another request.
+  kSendsForeignAnswer,
+  /// Aborts a stream in the middle of an event.
+  kTruncatesEvent,
+  /// Refuses to reroute a running answer.
+  kRefusesReroute,
 };
 
-/// One run of a request at an endpoint.
+/// One execution of a request at an endpoint.
 struct Run {
   std::string endpoint;
   std::string request_id;
@@ -52,48 +53,49 @@
   std::string body;
   std::string customer;
   http::Headers headers;
-  /// First event that it sent, for a stream.
+  /// Id of the first event of a stream.
   int first_event = 0;
 };
 
-/// The endpoints of the fleet, on one loop.
+/// All endpoints of the fleet, served by one event loop.
 /// Thread safety: only on the loop's thread.
 class Endpoints {
  public:
-  /// Events of each answer, and the time between two.
+  /// Number of events in each streamed answer, and the time between two.
   static constexpr int kEvents = 20;
   static constexpr Duration kEventGap = std::chrono::milliseconds(20);
 
-  /// Precondition: both outlive the object. Models have \p layer_count layers.
+  /// Precondition: \p event_loop and \p registry outlive the object. Models
+  /// have \p layer_count layers.
   Endpoints(http::Loop& event_loop, Store& registry, std::uint32_t layer_count);
 
   /// Starts an endpoint and registers it.
   void Add(const EndpointSpec& spec);
   void SetFault(const std::string& id, EndpointFault fault);
-  /// Sets whether engines name a silent engine of their answers' paths in their
-  /// reports.
-  void NameStalls(bool named) { this->name_stalls = named; }
-  /// Registers an endpoint as leaving; it goes on serving.
+  /// Sets whether engines report which engine of an answer's path is
+  /// unresponsive.
+  void ReportStalls(bool named) { this->report_stalls = named; }
+  /// Registers an endpoint as draining; it continues to serve.
   void Drain(const std::string& id);
-  /// Stops listening, and breaks every connection off.
+  /// Removes an endpoint: stops listening and aborts all its connections.
   void Crash(const std::string& id);
 
-  /// Returns the endpoint at \p address; empty if there is none.
+  /// Returns the id of the endpoint at \p address; empty if there is none.
   std::string IdAt(const std::string& address);
 
   const std::vector<Run>& Runs() const { return this->runs; }
-  /// Returns what went against the promises: a path that isn't a cover, an
+  /// Returns the violated guarantees: a path that isn't a cover, an
   /// order of too many layers, a request for another endpoint that was run.
   const std::vector<std::string>& Violations() const {
     return this->violations;
   }
   std::uint64_t Orders() const { return this->orders; }
-  std::uint64_t Repaths() const { return this->repaths; }
-  /// Returns how many streams run now.
-  std::size_t Running() const { return this->streams.size(); }
+  std::uint64_t Reroutes() const { return this->reroutes; }
+  /// Returns the number of streams in flight.
+  std::size_t RunningStreams() const { return this->streams.size(); }
 
  private:
-  struct Part {
+  struct Stage {
     std::string address;
     pipeline::LayerRange layers;
   };
@@ -104,12 +106,12 @@
     pipeline::LayerRange layers;
     std::uint64_t sequence = 0;
     std::string state = "ready";
-    std::vector<std::shared_ptr<http::Exchange>> held;
+    std::vector<std::shared_ptr<http::Exchange>> unanswered;
   };
   struct Stream {
     std::string endpoint;
     std::string request_id;
-    std::vector<Part> path;
+    std::vector<Stage> path;
     std::shared_ptr<http::Exchange> exchange;
     int next = 1;
   };
@@ -122,12 +124,13 @@
   void ServePlain(const Endpoint& endpoint, http::Exchange& exchange);
   void ServeStream(Endpoint& endpoint,
                    std::shared_ptr<http::Exchange> exchange);
-  void Step(const std::shared_ptr<Stream>& stream);
-  std::vector<Part> ParsePath(const std::string& text) const;
-  Endpoint* AtAddress(const std::string& address);
-  /// Returns the address of the part that keeps \p path from running.
-  std::string Hindrance(const std::vector<Part>& path);
-  void CheckCover(const std::vector<Part>& path);
+  void SendNextEvent(const std::shared_ptr<Stream>& stream);
+  std::vector<Stage> ParsePath(const std::string& text) const;
+  Endpoint* FindByAddress(const std::string& address);
+  /// Returns the address of the first stage of \p path that is unresponsive or
+  /// removed; empty if there is none.
+  std::string UnresponsiveAddress(const std::vector<Stage>& path);
+  void CheckCover(const std::vector<Stage>& path);
 
   http::Loop& loop;
   Store& store;
@@ -137,8 +140,8 @@
   std::vector<Run> runs;
   std::vector<std::string> violations;
   std::uint64_t orders = 0;
-  std::uint64_t repaths = 0;
-  bool name_stalls = true;
+  std::uint64_t reroutes = 0;
+  bool report_stalls = true;
 };
 
 }  // namespace toucanwharf::standins::fleet
--- a/standins/fleet/store.cc
+++ b/standins/fleet/store.cc
@@ -9,18 +9,18 @@
 using Json = nlohmann::json;
 
 constexpr std::string_view kPrefix = "/toucanwharf/objects/";
-/// Objects in one answer, so that callers have to ask for further pages.
-constexpr std::size_t kPage = 5;
+/// Objects per page; small, so that callers have to fetch several pages.
+constexpr std::size_t kPageSize = 5;
 
 }  // namespace
 
 Store::Store(http::Loop& event_loop, const std::vector<std::string>& addresses)
     : loop(event_loop), faults(addresses.size(), StoreFault::kNone) {
-  for (std::size_t at = 0; at < addresses.size(); ++at) {
+  for (std::size_t index = 0; index < addresses.size(); ++index) {
     auto server = http::Server::Listen(
-        event_loop, addresses[at],
-        [this, at](std::shared_ptr<http::Exchange> exchange) {
-          this->Handle(at, std::move(exchange));
+        event_loop, addresses[index],
+        [this, index](std::shared_ptr<http::Exchange> exchange) {
+          this->Handle(index, std::move(exchange));
         });
     if (!server) throw std::runtime_error("the store cannot listen");
     this->servers.push_back(std::move(server.value()));
@@ -59,8 +59,8 @@
     case StoreFault::kReset:
       exchange->Abort();
       return;
-    case StoreFault::kSilent:
-      this->held.push_back(std::move(exchange));
+    case StoreFault::kUnresponsive:
+      this->unanswered.push_back(std::move(exchange));
       return;
     case StoreFault::kNone:
     case StoreFault::kLosesAnswers:
@@ -69,7 +69,7 @@
   }
   const bool writes = exchange->Received().method != "GET";
   if (writes && this->faults[address] == StoreFault::kLosesAnswers) {
-    this->Carry(exchange->Received());
+    this->Execute(exchange->Received());
     exchange->Abort();
     return;
   }
@@ -82,14 +82,14 @@
 }
 
 void Store::Answer(http::Exchange& exchange) {
-  const Reply reply = this->Carry(exchange.Received());
+  const Reply reply = this->Execute(exchange.Received());
   http::ResponseHead head;
   head.status = reply.status;
   head.headers.Add("Content-Type", "application/json");
   exchange.Respond(head, reply.body.dump());
 }
 
-Store::Reply Store::Carry(const http::Request& request) {
+Store::Reply Store::Execute(const http::Request& request) {
   const std::string_view path = http::PathOf(request.target);
   if (path.substr(0, kPrefix.size()) != kPrefix) return {http::kNotFound, {}};
   const std::string_view rest = path.substr(kPrefix.size());
@@ -119,7 +119,7 @@
   const auto objects = this->kinds.find(kind);
   if (objects != this->kinds.end()) {
     auto next = objects->second.upper_bound(after);
-    for (; next != objects->second.end() && items.size() < kPage; ++next) {
+    for (; next != objects->second.end() && items.size() < kPageSize; ++next) {
       items.push_back(ToJson(next->first, next->second));
     }
     more = next != objects->second.end();
--- a/standins/fleet/store.h
+++ b/standins/fleet/store.h
@@ -12,22 +12,22 @@
 #include "toucanwharf/http/server.h"
 
 /// A small stand-in for the users' platform: its store, its model engines and
-/// its plain services, with faults that a test switches on. It plays protocols
-/// and faults, not time.
+/// its plain services, with faults that a test injects. It simulates protocols
+/// and faults, not the time that real components take.
 namespace toucanwharf::standins::fleet {
 
-/// What the store does to the calls that come to one of its addresses.
+/// Fault that the store injects into calls to one of its addresses.
 enum class StoreFault {
   kNone,
-  /// Answers 503.
+  /// Responds with 503.
   kBusy,
   /// Closes the connection.
   kReset,
-  /// Never answers.
-  kSilent,
-  /// Carries a write out and closes the connection without an answer.
+  /// Never responds.
+  kUnresponsive,
+  /// Applies a write and closes the connection without a response.
   kLosesAnswers,
-  /// Carries writes out after kWriteDelay; reads overtake them.
+  /// Applies writes after kWriteDelay, so that later reads precede them.
   kSlowWrites,
 };
 
@@ -37,19 +37,19 @@
  public:
   static constexpr Duration kWriteDelay = std::chrono::milliseconds(500);
 
-  /// Listens on \p addresses, one for each caller whose calls are to have
-  /// faults of their own. Precondition: the addresses are free.
+  /// Listens on \p addresses, one for each caller that needs its own faults.
+  /// Throws std::runtime_error if an address is in use.
   Store(http::Loop& event_loop, const std::vector<std::string>& addresses);
 
-  /// Writes an object as the operator or an endpoint would.
+  /// Writes an object unconditionally, as an operator or an endpoint would.
   void Put(const std::string& kind, const std::string& name,
            const nlohmann::json& spec);
   void Remove(const std::string& kind, const std::string& name);
   /// Returns an object's spec, null if there is none.
   nlohmann::json Spec(const std::string& kind, const std::string& name) const;
-  /// Sets what happens to the calls to the address number \p address.
+  /// Sets the fault of the address with index \p address.
   void SetFault(std::size_t address, StoreFault fault);
-  /// Returns how many calls came.
+  /// Returns the number of calls received.
   std::uint64_t Calls() const { return this->calls; }
 
  private:
@@ -65,7 +65,7 @@
 
   void Handle(std::size_t address, std::shared_ptr<http::Exchange> exchange);
   void Answer(http::Exchange& exchange);
-  Reply Carry(const http::Request& request);
+  Reply Execute(const http::Request& request);
   Reply List(const std::string& kind, const std::string& after) const;
   Reply Create(const std::string& kind, const nlohmann::json& body);
   Reply Replace(const std::string& kind, const std::string& name,
@@ -75,8 +75,8 @@
   http::Loop& loop;
   std::vector<std::unique_ptr<http::Server>> servers;
   std::vector<StoreFault> faults;
-  /// Calls that get no answer.
-  std::vector<std::shared_ptr<http::Exchange>> held;
+  /// Calls that never get a response, kept so that they stay open.
+  std::vector<std::shared_ptr<http::Exchange>> unanswered;
   std::map<std::string, Kind> kinds;
   std::uint64_t revision = 0;
   std::uint64_t calls = 0;
--- a/standins/platform/api.cc
+++ b/standins/platform/api.cc
@@ -11,14 +11,14 @@
 namespace toucanwharf::standins {
 namespace {
 
-constexpr std::uint64_t kLongestWaitMs = 60000;
-constexpr std::chrono::milliseconds kOutagePoll{20};
+constexpr std::uint64_t kMaxWaitMs = 60000;
+constexpr std::chrono::milliseconds kOutagePollInterval{20};
 
 HttpReply Error(int status, const std::string& message) {
   return JsonReply(status, {{"error", message}});
 }
 
-std::optional<std::uint64_t> Condition(const nlohmann::json& body) {
+std::optional<std::uint64_t> IfVersion(const nlohmann::json& body) {
   const auto found = body.find("if_version");
   if (found == body.end() || !found->is_number_unsigned()) return std::nullopt;
   return found->get<std::uint64_t>();
@@ -44,13 +44,13 @@
 
 HttpReply PlatformApi::Handle(const HttpRequest& request) {
   if (auto reply = this->Control(request)) return *std::move(reply);
-  std::this_thread::sleep_for(this->faults.Slowness());
+  std::this_thread::sleep_for(this->faults.Delay());
   const std::vector<std::string> parts =
       absl::StrSplit(request.path.substr(1), absl::MaxSplits('/', 2));
   if (parts[0] == "instances") {
     this->faults.Count("instances");
     if (this->faults.Outage()) return this->Unavailable();
-    return JsonReply(200, this->instances.Seen());
+    return JsonReply(200, this->instances.Visible());
   }
   if (parts[0] == "watch" && parts.size() == 2) {
     this->faults.Count("watch");
@@ -70,9 +70,9 @@
     const nlohmann::json body = request.Json();
     if (body.is_object()) {
       this->faults.Set(body);
-      const nlohmann::json all = this->faults.Get();
+      const nlohmann::json switches = this->faults.Get();
       this->instances.SetLag(
-          std::chrono::milliseconds(all.at("list_lag_ms").get<int>()));
+          std::chrono::milliseconds(switches.at("list_lag_ms").get<int>()));
       this->store.WakeWatches();
     }
     return JsonReply(200, this->faults.Get());
@@ -94,12 +94,12 @@
 }
 
 HttpReply PlatformApi::Unavailable() {
-  if (!this->faults.Silent()) return Error(503, "outage");
+  if (!this->faults.Unresponsive()) return Error(503, "outage");
   const auto start = std::chrono::steady_clock::now();
-  const std::chrono::milliseconds most(kLongestWaitMs);
+  const std::chrono::milliseconds max_wait(kMaxWaitMs);
   while (this->faults.Outage() &&
-         std::chrono::steady_clock::now() - start < most) {
-    std::this_thread::sleep_for(kOutagePoll);
+         std::chrono::steady_clock::now() - start < max_wait) {
+    std::this_thread::sleep_for(kOutagePollInterval);
   }
   return DropReply();
 }
@@ -127,14 +127,14 @@
 HttpReply PlatformApi::Get(const std::string& collection,
                            const std::string& name) {
   const ObjectPtr object =
-      this->store.Get(collection, name, this->faults.StaleRead());
+      this->store.Get(collection, name, this->faults.ConsumeStaleRead());
   if (object == nullptr) return Error(404, "no such object");
   return TextReply(object->Text());
 }
 
 HttpReply PlatformApi::List(const std::string& collection) {
   const ListResult list =
-      this->store.List(collection, this->faults.StaleRead());
+      this->store.List(collection, this->faults.ConsumeStaleRead());
   std::vector<std::string> items;
   for (const ObjectPtr& object : list.items) items.push_back(object->Text());
   return TextReply("{\"revision\":" + std::to_string(list.revision) +
@@ -157,7 +157,7 @@
   if (object.value.size() > kValueLimit) {
     return Error(413, "the value is over 1048576 bytes");
   }
-  return this->Written(this->store.Put(std::move(object), Condition(body)));
+  return this->WriteReply(this->store.Put(std::move(object), IfVersion(body)));
 }
 
 HttpReply PlatformApi::Delete(const HttpRequest& request,
@@ -167,11 +167,11 @@
   if (request.query.contains("if_version")) {
     condition = request.Number("if_version", 0);
   }
-  return this->Written(this->store.Delete(collection, name, condition));
+  return this->WriteReply(this->store.Delete(collection, name, condition));
 }
 
-HttpReply PlatformApi::Written(const WriteResult& result) {
-  if (this->faults.LoseAnswer()) return DropReply();
+HttpReply PlatformApi::WriteReply(const WriteResult& result) {
+  if (this->faults.ConsumeLostAnswer()) return DropReply();
   if (result.missing) return Error(404, "no such object");
   return JsonReply(result.done ? 200 : 409, {{"version", result.version}});
 }
@@ -179,8 +179,7 @@
 HttpReply PlatformApi::Watch(const HttpRequest& request,
                              const std::string& collection) {
   if (this->faults.Outage()) return this->Unavailable();
-  const std::uint64_t wait =
-      std::min(request.Number("wait_ms", 0), kLongestWaitMs);
+  const std::uint64_t wait = std::min(request.Number("wait_ms", 0), kMaxWaitMs);
   const WatchResult result = this->store.Watch(
       collection, request.Number("after", 0), std::chrono::milliseconds(wait),
       [this] { return this->faults.Outage(); });
--- a/standins/platform/api.h
+++ b/standins/platform/api.h
@@ -12,13 +12,13 @@
 
 namespace toucanwharf::standins {
 
-/// The platform's calls, as docs/PROTOCOLS.md gives them.
-/// Thread safety: all methods may be called at once from several threads.
+/// The platform's HTTP API, as specified in docs/PROTOCOLS.md.
+/// Thread safety: safe; all methods may be called concurrently.
 class PlatformApi {
  public:
-  /// Sets how old the instance list is that callers see.
+  /// Sets the age of the instance list that callers see.
   void SetListLag(std::chrono::milliseconds lag);
-  /// Answers one call.
+  /// Handles one call. May block for the injected delay or outage.
   HttpReply Handle(const HttpRequest& request);
 
  private:
@@ -32,7 +32,7 @@
   HttpReply Delete(const HttpRequest& request, const std::string& collection,
                    const std::string& name);
   HttpReply Watch(const HttpRequest& request, const std::string& collection);
-  HttpReply Written(const WriteResult& result);
+  HttpReply WriteReply(const WriteResult& result);
   HttpReply Unavailable();
 
   Store store;
--- a/standins/platform/faults.cc
+++ b/standins/platform/faults.cc
@@ -3,9 +3,9 @@
 namespace toucanwharf::standins {
 namespace {
 
-bool UseOne(std::uint64_t& left) {
-  if (left == 0) return false;
-  --left;
+bool ConsumeOne(std::uint64_t& remaining) {
+  if (remaining == 0) return false;
+  --remaining;
   return true;
 }
 
@@ -14,8 +14,9 @@
 void Faults::Set(const nlohmann::json& body) {
   const std::lock_guard lock(this->mutex);
   this->outage = body.value("outage", this->outage);
-  this->silent =
-      body.value("outage_mode", this->silent ? "silent" : "503") == "silent";
+  this->unresponsive =
+      body.value("outage_mode", this->unresponsive ? "silent" : "503") ==
+      "silent";
   this->slow_ms = body.value("slow_ms", this->slow_ms);
   this->lose_answers = body.value("lose_answers", this->lose_answers);
   this->stale_reads = body.value("stale_reads", this->stale_reads);
@@ -25,7 +26,7 @@
 nlohmann::json Faults::Get() {
   const std::lock_guard lock(this->mutex);
   return {{"outage", this->outage},
-          {"outage_mode", this->silent ? "silent" : "503"},
+          {"outage_mode", this->unresponsive ? "silent" : "503"},
           {"slow_ms", this->slow_ms},
           {"lose_answers", this->lose_answers},
           {"stale_reads", this->stale_reads},
@@ -37,24 +38,24 @@
   return this->outage;
 }
 
-bool Faults::Silent() {
+bool Faults::Unresponsive() {
   const std::lock_guard lock(this->mutex);
-  return this->silent;
+  return this->unresponsive;
 }
 
-std::chrono::milliseconds Faults::Slowness() {
+std::chrono::milliseconds Faults::Delay() {
   const std::lock_guard lock(this->mutex);
   return std::chrono::milliseconds(this->slow_ms);
 }
 
-bool Faults::LoseAnswer() {
+bool Faults::ConsumeLostAnswer() {
   const std::lock_guard lock(this->mutex);
-  return UseOne(this->lose_answers);
+  return ConsumeOne(this->lose_answers);
 }
 
-bool Faults::StaleRead() {
+bool Faults::ConsumeStaleRead() {
   const std::lock_guard lock(this->mutex);
-  return UseOne(this->stale_reads);
+  return ConsumeOne(this->stale_reads);
 }
 
 void Faults::Count(const std::string& kind) {
--- a/standins/platform/faults.h
+++ b/standins/platform/faults.h
@@ -10,34 +10,36 @@
 
 namespace toucanwharf::standins {
 
-/// The switches of the platform, and the counters of its calls.
-/// Thread safety: all methods may be called at once from several threads.
+/// The platform's injected faults, and the counters of its calls.
+/// Thread safety: safe; all methods may be called concurrently.
 class Faults {
  public:
-  /// Takes over the switches that \p body names; others stay.
+  /// Sets the faults that \p body names; the others are unchanged.
   void Set(const nlohmann::json& body);
-  /// Returns all switches as they are.
+  /// Returns the current setting of every fault.
   nlohmann::json Get();
-  /// Returns whether the platform is down.
+  /// Returns whether an outage is injected.
   bool Outage();
-  /// Returns whether an outage shows by no answer at all, not by a 503.
-  bool Silent();
-  /// Returns the delay of each call.
-  std::chrono::milliseconds Slowness();
-  /// Uses up one lost answer; returns whether there was one left.
-  bool LoseAnswer();
-  /// Uses up one stale read; returns whether there was one left.
-  bool StaleRead();
+  /// Returns whether calls during an outage get no response instead of a 503.
+  bool Unresponsive();
+  /// Returns the delay added to each call.
+  std::chrono::milliseconds Delay();
+  /// Returns whether to drop the response to this write; if so, decrements the
+  /// number of responses still to drop.
+  bool ConsumeLostAnswer();
+  /// Returns whether this read is to be stale; if so, decrements the number of
+  /// stale reads to come.
+  bool ConsumeStaleRead();
 
   /// Counts one call of \p kind.
   void Count(const std::string& kind);
-  /// Returns the calls by kind, and their total.
+  /// Returns the number of calls by kind, and in total.
   nlohmann::json Counters();
 
  private:
   std::mutex mutex;
   bool outage = false;
-  bool silent = false;
+  bool unresponsive = false;
   std::uint64_t slow_ms = 0;
   std::uint64_t lose_answers = 0;
   std::uint64_t stale_reads = 0;
--- a/standins/platform/instances.cc
+++ b/standins/platform/instances.cc
@@ -3,24 +3,25 @@
 namespace toucanwharf::standins {
 namespace {
 
-constexpr std::chrono::minutes kKept{10};
+/// Upper bound of the lag that can be simulated exactly.
+constexpr std::chrono::minutes kHistoryLength{10};
 
 }  // namespace
 
 void InstanceList::Put(const nlohmann::json& instance) {
   const std::lock_guard lock(this->mutex);
   const auto id = instance.value("id", std::string());
-  nlohmann::json& entry = this->now[id];
+  nlohmann::json& entry = this->current[id];
   if (!entry.is_object()) entry = nlohmann::json::object();
   entry.update(instance);
   if (!entry.contains("state")) entry["state"] = "live";
-  this->Remember();
+  this->SaveSnapshot();
 }
 
 void InstanceList::Remove(const std::string& id) {
   const std::lock_guard lock(this->mutex);
-  this->now.erase(id);
-  this->Remember();
+  this->current.erase(id);
+  this->SaveSnapshot();
 }
 
 void InstanceList::SetLag(std::chrono::milliseconds list_lag) {
@@ -28,25 +29,26 @@
   this->lag = list_lag;
 }
 
-nlohmann::json InstanceList::Seen() {
+nlohmann::json InstanceList::Visible() {
   const std::lock_guard lock(this->mutex);
   const TimePoint until = std::chrono::steady_clock::now() - this->lag;
-  const Entries* seen = nullptr;
-  for (const Past& state : this->past) {
-    if (state.since <= until) seen = &state.entries;
+  const Entries* visible = nullptr;
+  for (const Snapshot& snapshot : this->history) {
+    if (snapshot.since <= until) visible = &snapshot.entries;
   }
   nlohmann::json list = nlohmann::json::array();
-  if (seen != nullptr) {
-    for (const auto& [id, entry] : *seen) list.push_back(entry);
+  if (visible != nullptr) {
+    for (const auto& [id, entry] : *visible) list.push_back(entry);
   }
   return {{"instances", list}};
 }
 
-void InstanceList::Remember() {
+void InstanceList::SaveSnapshot() {
   const TimePoint time = std::chrono::steady_clock::now();
-  this->past.push_back(Past{time, this->now});
-  while (this->past.size() > 1 && this->past[1].since < time - kKept) {
-    this->past.pop_front();
+  this->history.push_back(Snapshot{time, this->current});
+  while (this->history.size() > 1 &&
+         this->history[1].since < time - kHistoryLength) {
+    this->history.pop_front();
   }
 }
 
--- a/standins/platform/instances.h
+++ b/standins/platform/instances.h
@@ -10,34 +10,33 @@
 
 namespace toucanwharf::standins {
 
-/// The platform's list of instances, shown as it was a while ago.
-/// Thread safety: all methods may be called at once from several threads.
+/// The platform's list of instances. Callers see it with a configurable lag.
+/// Thread safety: safe; all methods may be called concurrently.
 class InstanceList {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;
 
-  /// Adds \p instance or changes what is known of its id.
+  /// Adds \p instance, or merges it into the entry with the same id.
   void Put(const nlohmann::json& instance);
-  /// Takes \p id from the list.
   void Remove(const std::string& id);
-  /// Sets how old the list is that callers see.
+  /// Sets the age of the list that callers see.
   void SetLag(std::chrono::milliseconds list_lag);
-  /// Returns the list as it was one lag ago.
-  nlohmann::json Seen();
+  /// Returns the list as it was before the lag.
+  nlohmann::json Visible();
 
  private:
   using Entries = std::map<std::string, nlohmann::json>;
-  struct Past {
+  struct Snapshot {
     TimePoint since;
     Entries entries;
   };
 
-  void Remember();
+  void SaveSnapshot();
 
   std::mutex mutex;
   std::chrono::milliseconds lag{0};
-  Entries now;
-  std::deque<Past> past;
+  Entries current;
+  std::deque<Snapshot> history;
 };
 
 }  // namespace toucanwharf::standins
--- a/standins/platform/store.cc
+++ b/standins/platform/store.cc
@@ -5,8 +5,8 @@
 namespace toucanwharf::standins {
 namespace {
 
-constexpr std::size_t kMostEvents = 20000;
-constexpr std::size_t kMostEventBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t kMaxEvents = 20000;
+constexpr std::size_t kMaxEventBytes = std::size_t{64} * 1024 * 1024;
 
 std::uint64_t VersionOf(const Collection& collection, const std::string& name) {
   const auto found = collection.find(name);
@@ -16,11 +16,11 @@
 }  // namespace
 
 std::string StoredObject::Text() const {
-  const nlohmann::json head = {{"collection", this->collection},
-                               {"name", this->name},
-                               {"version", this->version},
-                               {"writer", this->writer}};
-  std::string text = head.dump();
+  const nlohmann::json header = {{"collection", this->collection},
+                                 {"name", this->name},
+                                 {"version", this->version},
+                                 {"writer", this->writer}};
+  std::string text = header.dump();
   text.pop_back();
   return text + ",\"value\":" + this->value + "}";
 }
@@ -28,18 +28,18 @@
 ObjectPtr Store::Get(const std::string& collection, const std::string& name,
                      bool stale) {
   const std::lock_guard lock(this->mutex);
-  const Shelf& shelf = this->shelves[collection];
-  const Collection& seen = stale ? shelf.before : shelf.now;
-  const auto found = seen.find(name);
-  return found == seen.end() ? nullptr : found->second;
+  const CollectionState& state = this->collections[collection];
+  const Collection& objects = stale ? state.previous : state.current;
+  const auto found = objects.find(name);
+  return found == objects.end() ? nullptr : found->second;
 }
 
 ListResult Store::List(const std::string& collection, bool stale) {
   const std::lock_guard lock(this->mutex);
-  const Shelf& shelf = this->shelves[collection];
+  const CollectionState& state = this->collections[collection];
   ListResult result;
-  result.revision = stale ? shelf.before_revision : this->revision;
-  for (const auto& [name, object] : stale ? shelf.before : shelf.now) {
+  result.revision = stale ? state.previous_revision : this->revision;
+  for (const auto& [name, object] : stale ? state.previous : state.current) {
     result.items.push_back(object);
   }
   return result;
@@ -48,68 +48,68 @@
 WriteResult Store::Put(StoredObject object,
                        std::optional<std::uint64_t> if_version) {
   const std::lock_guard lock(this->mutex);
-  Shelf& shelf = this->shelves[object.collection];
-  const std::uint64_t current = VersionOf(shelf.now, object.name);
+  CollectionState& state = this->collections[object.collection];
+  const std::uint64_t current = VersionOf(state.current, object.name);
   if (if_version && *if_version != current) {
     return WriteResult{.version = current};
   }
-  shelf.before = shelf.now;
-  shelf.before_revision = this->revision;
+  state.previous = state.current;
+  state.previous_revision = this->revision;
   object.version = ++this->revision;
-  const auto kept = std::make_shared<const StoredObject>(std::move(object));
-  shelf.now[kept->name] = kept;
-  this->Record(shelf, true, kept);
-  return WriteResult{.done = true, .version = kept->version};
+  const auto stored = std::make_shared<const StoredObject>(std::move(object));
+  state.current[stored->name] = stored;
+  this->Record(state, true, stored);
+  return WriteResult{.done = true, .version = stored->version};
 }
 
 WriteResult Store::Delete(const std::string& collection,
                           const std::string& name,
                           std::optional<std::uint64_t> if_version) {
   const std::lock_guard lock(this->mutex);
-  Shelf& shelf = this->shelves[collection];
-  const auto found = shelf.now.find(name);
-  if (found == shelf.now.end()) return WriteResult{.missing = true};
+  CollectionState& state = this->collections[collection];
+  const auto found = state.current.find(name);
+  if (found == state.current.end()) return WriteResult{.missing = true};
   if (if_version && *if_version != found->second->version) {
     return WriteResult{.version = found->second->version};
   }
-  shelf.before = shelf.now;
-  shelf.before_revision = this->revision;
-  StoredObject last = *found->second;
-  last.version = ++this->revision;
-  shelf.now.erase(found);
-  const std::uint64_t version = last.version;
-  this->Record(shelf, false,
-               std::make_shared<const StoredObject>(std::move(last)));
+  state.previous = state.current;
+  state.previous_revision = this->revision;
+  StoredObject deleted = *found->second;
+  deleted.version = ++this->revision;
+  state.current.erase(found);
+  const std::uint64_t version = deleted.version;
+  this->Record(state, false,
+               std::make_shared<const StoredObject>(std::move(deleted)));
   return WriteResult{.done = true, .version = version};
 }
 
-void Store::Record(Shelf& shelf, bool put, const ObjectPtr& object) {
-  shelf.events.push_back(StoreEvent{object->version, put, object});
-  shelf.event_bytes += object->value.size();
-  while (shelf.events.size() > kMostEvents ||
-         shelf.event_bytes > kMostEventBytes) {
-    shelf.event_bytes -= shelf.events.front().object->value.size();
-    shelf.forgotten = shelf.events.front().revision;
-    shelf.events.pop_front();
+void Store::Record(CollectionState& state, bool put, const ObjectPtr& object) {
+  state.events.push_back(StoreEvent{object->version, put, object});
+  state.event_bytes += object->value.size();
+  while (state.events.size() > kMaxEvents ||
+         state.event_bytes > kMaxEventBytes) {
+    state.event_bytes -= state.events.front().object->value.size();
+    state.dropped_revision = state.events.front().revision;
+    state.events.pop_front();
   }
-  shelf.changed.notify_all();
+  state.changed.notify_all();
 }
 
 WatchResult Store::Watch(const std::string& collection, std::uint64_t after,
                          std::chrono::milliseconds wait,
                          const std::function<bool()>& interrupted) {
   std::unique_lock lock(this->mutex);
-  Shelf& shelf = this->shelves[collection];
+  CollectionState& state = this->collections[collection];
   WatchResult result;
-  result.too_old = after < shelf.forgotten;
+  result.too_old = after < state.dropped_revision;
   if (result.too_old) return result;
-  shelf.changed.wait_for(lock, wait, [&] {
-    const bool news =
-        !shelf.events.empty() && shelf.events.back().revision > after;
-    return news || interrupted();
+  state.changed.wait_for(lock, wait, [&] {
+    const bool has_changes =
+        !state.events.empty() && state.events.back().revision > after;
+    return has_changes || interrupted();
   });
   result.revision = this->revision;
-  for (const StoreEvent& event : shelf.events) {
+  for (const StoreEvent& event : state.events) {
     if (event.revision > after) result.events.push_back(event);
   }
   return result;
@@ -117,7 +117,7 @@
 
 void Store::WakeWatches() {
   const std::lock_guard lock(this->mutex);
-  for (auto& [name, shelf] : this->shelves) shelf.changed.notify_all();
+  for (auto& [name, state] : this->collections) state.changed.notify_all();
 }
 
 }  // namespace toucanwharf::standins
--- a/standins/relay/main.cc
+++ b/standins/relay/main.cc
@@ -38,8 +38,8 @@
 
 int main(int argc, char** argv) {
   cxxopts::Options options("standin_relay", "TCP relay that fails on demand");
-  const auto text = [](const char* otherwise) {
-    return cxxopts::value<std::string>()->default_value(otherwise);
+  const auto text = [](const char* fallback) {
+    return cxxopts::value<std::string>()->default_value(fallback);
   };
   options.add_options()("help", "print this")("listen", "127.0.0.1:PORT",
                                               text("127.0.0.1:0"))(
--- a/standins/relay/relay.cc
+++ b/standins/relay/relay.cc
@@ -23,9 +23,10 @@
 
 constexpr int kPollMs = 20;
 constexpr int kBacklog = 1024;
-constexpr std::size_t kBlock = 65536;
-/// Bytes that a delayed direction may hold before the sender is slowed down.
-constexpr std::size_t kMostHeld = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t kBlockBytes = 65536;
+/// Limit of bytes buffered for a delayed direction. Above it the relay stops
+/// reading, which slows down the sender.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{4} * 1024 * 1024;
 
 sockaddr_in Loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -43,8 +44,8 @@
 int Connect(std::uint16_t port) {
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const sockaddr_in address = Loopback(port);
-  const auto* any = reinterpret_cast<const sockaddr*>(&address);
-  if (connect(socket, any, sizeof(address)) == 0) {
+  const auto* generic = reinterpret_cast<const sockaddr*>(&address);
+  if (connect(socket, generic, sizeof(address)) == 0) {
     SendNoDelay(socket);
     return socket;
   }
@@ -52,27 +53,27 @@
   return -1;
 }
 
-/// Closes so that the other end sees a reset, not an orderly end.
+/// Closes \p socket with a TCP reset instead of an orderly shutdown.
 void Reset(int socket) {
-  const linger at_once{1, 0};
-  setsockopt(socket, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  const linger zero_linger{1, 0};
+  setsockopt(socket, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger));
   close(socket);
 }
 
-struct Piece {
+struct Chunk {
   SteadyClock::time_point due;
   std::string bytes;
 };
 
-/// One direction of a connection, with what is still delayed.
+/// One direction of a connection, with its delayed bytes.
 struct Direction {
   int from = -1;
   int to = -1;
   bool from_client = false;
   bool ended = false;
   bool closed = false;
-  std::size_t held = 0;
-  std::deque<Piece> pieces;
+  std::size_t buffered_bytes = 0;
+  std::deque<Chunk> chunks;
 };
 
 bool SendAll(int socket, std::string_view bytes) {
@@ -98,7 +99,8 @@
     this->down.to = client;
   }
 
-  /// Relays until an end is reached; false asks for a reset.
+  /// Relays until both directions are closed; false if the connection has to be
+  /// reset.
   bool Run() {
     while (!this->state.cut) {
       if (!this->Poll()) return false;
@@ -110,69 +112,72 @@
 
  private:
   bool Poll() {
-    std::array<pollfd, 2> ends{};
-    ends[0] = pollfd{this->Source(this->up), POLLIN, 0};
-    ends[1] = pollfd{this->Source(this->down), POLLIN, 0};
-    poll(ends.data(), ends.size(), this->Wait());
-    if (ends[0].revents != 0 && !this->Read(this->up)) return false;
-    return ends[1].revents == 0 || this->Read(this->down);
+    std::array<pollfd, 2> sockets{};
+    sockets[0] = pollfd{this->PollableSocket(this->up), POLLIN, 0};
+    sockets[1] = pollfd{this->PollableSocket(this->down), POLLIN, 0};
+    poll(sockets.data(), sockets.size(), this->PollTimeoutMs());
+    if (sockets[0].revents != 0 && !this->Read(this->up)) return false;
+    return sockets[1].revents == 0 || this->Read(this->down);
   }
 
-  static int Source(const Direction& way) {
-    return way.ended || way.held > kMostHeld ? -1 : way.from;
+  static int PollableSocket(const Direction& flow) {
+    return flow.ended || flow.buffered_bytes > kMaxBufferedBytes ? -1
+                                                                 : flow.from;
   }
 
-  int Wait() const {
-    const bool holds = !this->up.pieces.empty() || !this->down.pieces.empty();
-    return holds ? 1 : kPollMs;
+  int PollTimeoutMs() const {
+    const bool has_delayed =
+        !this->up.chunks.empty() || !this->down.chunks.empty();
+    return has_delayed ? 1 : kPollMs;
   }
 
-  bool Read(Direction& way) {
-    std::array<char, kBlock> block;
-    const ssize_t got =
-        recv(way.from, block.data(), block.size(), MSG_DONTWAIT);
-    if (got < 0) return errno == EAGAIN || errno == EINTR;
-    // A silent link forgets bytes and ends alike: each side sees nothing.
-    if (this->state.silent) {
-      way.ended = way.ended || got == 0;
+  bool Read(Direction& flow) {
+    std::array<char, kBlockBytes> block;
+    const ssize_t received =
+        recv(flow.from, block.data(), block.size(), MSG_DONTWAIT);
+    if (received < 0) return errno == EAGAIN || errno == EINTR;
+    // A blackholed link drops bytes and end of stream alike: neither side
+    // receives anything.
+    if (this->state.blackholed) {
+      flow.ended = flow.ended || received == 0;
       return true;
     }
-    if (got == 0) {
-      way.ended = true;
+    if (received == 0) {
+      flow.ended = true;
       return true;
     }
-    const auto size = static_cast<std::size_t>(got);
-    if (way.from_client) {
+    const auto size = static_cast<std::size_t>(received);
+    if (flow.from_client) {
       this->relay.bytes_in += size;
-      if (this->relay.TakeRequestFault(this->relay.close_after_request)) {
+      if (this->relay.ConsumeFault(this->relay.close_after_request)) {
         return false;
       }
     } else {
       this->relay.bytes_out += size;
-      if (this->relay.TakeRequestFault(this->relay.close_before_answer)) {
+      if (this->relay.ConsumeFault(this->relay.close_before_answer)) {
         return false;
       }
     }
     const std::chrono::milliseconds delay(this->relay.delay_ms.load());
-    way.held += size;
-    way.pieces.push_back(
-        Piece{SteadyClock::now() + delay, std::string(block.data(), size)});
+    flow.buffered_bytes += size;
+    flow.chunks.push_back(
+        Chunk{SteadyClock::now() + delay, std::string(block.data(), size)});
     return true;
   }
 
-  bool Flush(Direction& way) {
+  bool Flush(Direction& flow) {
     const auto now = SteadyClock::now();
-    while (!way.pieces.empty() && way.pieces.front().due <= now) {
-      const Piece piece = std::move(way.pieces.front());
-      way.pieces.pop_front();
-      way.held -= piece.bytes.size();
-      if (this->state.silent) continue;
-      if (!SendAll(way.to, piece.bytes)) return false;
+    while (!flow.chunks.empty() && flow.chunks.front().due <= now) {
+      const Chunk chunk = std::move(flow.chunks.front());
+      flow.chunks.pop_front();
+      flow.buffered_bytes -= chunk.bytes.size();
+      if (this->state.blackholed) continue;
+      if (!SendAll(flow.to, chunk.bytes)) return false;
     }
-    if (!way.ended || way.closed || !way.pieces.empty()) return true;
-    if (this->state.silent) return true;
-    way.closed = true;
-    shutdown(way.to, SHUT_WR);
+    if (!flow.ended || flow.closed || !flow.chunks.empty()) return true;
+    if (this->state.blackholed) return true;
+    flow.closed = true;
+    shutdown(flow.to, SHUT_WR);
     return true;
   }
 
@@ -182,10 +187,10 @@
   Direction down;
 };
 
-bool Relay::TakeRequestFault(std::atomic<std::uint64_t>& left) {
-  std::uint64_t now = left.load();
+bool Relay::ConsumeFault(std::atomic<std::uint64_t>& remaining) {
+  std::uint64_t now = remaining.load();
   while (now > 0) {
-    if (left.compare_exchange_weak(now, now - 1)) return true;
+    if (remaining.compare_exchange_weak(now, now - 1)) return true;
   }
   return false;
 }
@@ -195,13 +200,13 @@
   const int on = 1;
   setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
   sockaddr_in address = Loopback(port);
-  auto* any = reinterpret_cast<sockaddr*>(&address);
-  if (bind(listener, any, sizeof(address)) != 0 ||
+  auto* generic = reinterpret_cast<sockaddr*>(&address);
+  if (bind(listener, generic, sizeof(address)) != 0 ||
       listen(listener, kBacklog) != 0) {
     throw std::runtime_error("cannot listen");
   }
   socklen_t size = sizeof(address);
-  getsockname(listener, any, &size);
+  getsockname(listener, generic, &size);
   std::thread([this, listener] { this->Accept(listener); }).detach();
   return ntohs(address.sin_port);
 }
@@ -218,7 +223,7 @@
       continue;
     }
     const auto state = std::make_shared<LinkState>();
-    state->silent = this->silence_new.load();
+    state->blackholed = this->blackhole_new.load();
     this->open[id] = state;
     std::thread([this, client, id] { this->Serve(client, id); }).detach();
   }
@@ -248,17 +253,17 @@
   const std::lock_guard lock(this->mutex);
   if (body.value("heal", false)) {
     this->refuse = false;
-    this->silence_new = false;
+    this->blackhole_new = false;
     this->delay_ms = 0;
     this->close_after_request = 0;
     this->close_before_answer = 0;
   }
   const std::string silence = body.value("silence", "");
   for (auto& [id, link] : this->open) {
-    if (!silence.empty()) link->silent = true;
+    if (!silence.empty()) link->blackholed = true;
     if (body.value("cut", false)) link->cut = true;
   }
-  if (silence == "all") this->silence_new = true;
+  if (silence == "all") this->blackhole_new = true;
   this->refuse = body.value("refuse", this->refuse.load());
   this->delay_ms = body.value("delay_ms", this->delay_ms.load());
   this->close_after_request =
@@ -274,7 +279,7 @@
           {"bytes_in", this->bytes_in.load()},
           {"bytes_out", this->bytes_out.load()},
           {"refuse", this->refuse.load()},
-          {"silence_new", this->silence_new.load()},
+          {"silence_new", this->blackhole_new.load()},
           {"delay_ms", this->delay_ms.load()},
           {"close_after_request", this->close_after_request.load()},
           {"close_before_answer", this->close_before_answer.load()}};
--- a/standins/relay/relay.h
+++ b/standins/relay/relay.h
@@ -11,38 +11,41 @@
 
 namespace toucanwharf::standins {
 
-/// What a connection does with bytes; shared by the switches and its thread.
+/// Faults of one connection, set by Relay::Set and read by the thread that
+/// serves the connection.
 struct LinkState {
-  std::atomic<bool> silent{false};
+  std::atomic<bool> blackholed{false};
   std::atomic<bool> cut{false};
 };
 
-/// The relay's switches and counters.
-/// Thread safety: all methods may be called at once from several threads.
+/// A TCP relay on loopback with injectable faults. Its threads are detached, so
+/// it must live until the process ends once Start was called.
+/// Thread safety: safe; all methods may be called concurrently.
 class Relay {
  public:
-  /// Relays to \p target_port on the loopback.
+  /// Relays connections to \p target_port on loopback.
   explicit Relay(std::uint16_t target_port) : target(target_port) {}
 
-  /// Listens on 127.0.0.1:\p port and relays from then on, in threads of its
-  /// own; returns the port. Throws std::runtime_error if it is taken.
+  /// Listens on 127.0.0.1:\p port, 0 for any free port, and relays in threads
+  /// of its own. Returns the port. Throws std::runtime_error if it is in use.
   std::uint16_t Start(std::uint16_t port);
-  /// Takes over the switches that \p body names.
+  /// Sets the faults that \p body names; "heal" resets those of the relay
+  /// first.
   void Set(const nlohmann::json& body);
-  /// Returns the counters and switches.
+  /// Returns the counters and the faults.
   nlohmann::json Status();
 
  private:
   void Accept(int listener);
   void Serve(int client, std::uint64_t id);
-  bool TakeRequestFault(std::atomic<std::uint64_t>& left);
+  bool ConsumeFault(std::atomic<std::uint64_t>& remaining);
 
   std::uint16_t target;
   std::mutex mutex;
   std::map<std::uint64_t, std::shared_ptr<LinkState>> open;
   std::uint64_t accepted = 0;
   std::atomic<bool> refuse{false};
-  std::atomic<bool> silence_new{false};
+  std::atomic<bool> blackhole_new{false};
   std::atomic<std::uint64_t> delay_ms{0};
   std::atomic<std::uint64_t> close_after_request{0};
   std::atomic<std::uint64_t> close_before_answer{0};
--- a/standins/service/main.cc
+++ b/standins/service/main.cc
@@ -39,8 +39,8 @@
 
 cxxopts::Options MakeOptions() {
   cxxopts::Options options("standin_service", "stand-in for a plain service");
-  const auto text = [](const char* otherwise) {
-    return cxxopts::value<std::string>()->default_value(otherwise);
+  const auto text = [](const char* fallback) {
+    return cxxopts::value<std::string>()->default_value(fallback);
   };
   options.add_options()("help", "print this")("listen", "127.0.0.1:PORT",
                                               text("127.0.0.1:0"))(
--- a/standins/service/service.cc
+++ b/standins/service/service.cc
@@ -29,7 +29,7 @@
 PlainService::PlainService(std::string service_name, std::string instance_id)
     : name(std::move(service_name)), instance(std::move(instance_id)) {}
 
-bool PlainService::Use(const std::string& fault) {
+bool PlainService::ConsumeFault(const std::string& fault) {
   const std::lock_guard lock(this->mutex);
   const auto found = this->faults.find(fault);
   if (found == this->faults.end() || found->second == 0) return false;
@@ -38,21 +38,21 @@
 }
 
 bool PlainService::CheckHeaders(const HttpRequest& request) {
-  return IsControl(request) || !this->Use(kBeforeReading);
+  return IsControl(request) || !this->ConsumeFault(kBeforeReading);
 }
 
 HttpReply PlainService::Handle(const HttpRequest& request) {
   if (request.path == "/healthz") return JsonReply(200, {{"state", "live"}});
   if (request.path == "/faults") return this->SetFaults(request.Json());
   if (request.path == "/_runs") return this->Runs(request);
-  if (this->Use(kBeforeRun)) return DropReply();
-  if (this->Use(kRefuse)) {
+  if (this->ConsumeFault(kBeforeRun)) return DropReply();
+  if (this->ConsumeFault(kRefuse)) {
     HttpReply reply = JsonReply(503, {{"error", "busy"}, {"ran", "no"}});
     reply.headers["Toucanwharf-Ran"] = "no";
     return reply;
   }
   HttpReply reply = this->Run(request);
-  return this->Use(kAfterRun) ? DropReply() : reply;
+  return this->ConsumeFault(kAfterRun) ? DropReply() : reply;
 }
 
 HttpReply PlainService::SetFaults(const nlohmann::json& body) {
@@ -63,9 +63,9 @@
       this->faults[fault] = body.value(fault, this->faults[fault]);
     }
   }
-  nlohmann::json all = this->faults;
-  all["delay_ms"] = this->delay_ms;
-  return JsonReply(200, all);
+  nlohmann::json switches = this->faults;
+  switches["delay_ms"] = this->delay_ms;
+  return JsonReply(200, switches);
 }
 
 HttpReply PlainService::Runs(const HttpRequest& request) {
@@ -76,13 +76,13 @@
     return JsonReply(200, {{"key", request.query.at("key")},
                            {"runs", known ? found->second : 0}});
   }
-  nlohmann::json doubled = nlohmann::json::array();
+  nlohmann::json repeated = nlohmann::json::array();
   for (const auto& [key, runs] : this->runs_by_key) {
-    if (runs > 1) doubled.push_back(key);
+    if (runs > 1) repeated.push_back(key);
   }
   return JsonReply(200, {{"total", this->total},
                          {"keys", this->runs_by_key.size()},
-                         {"doubled", doubled},
+                         {"doubled", repeated},
                          {"by_call", this->runs_by_call}});
 }
 
@@ -100,7 +100,7 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(wait_ms));
   nlohmann::json reply = {{"service", this->name}, {"path", request.path}};
   if (request.method == "GET") {
-    // The same for every call and instance: reading may be repeated.
+    // The same for every call and instance, since reads are idempotent.
     reply["certificate"] = std::to_string(HashText(request.path));
     return JsonReply(200, reply);
   }
--- a/standins/service/service.h
+++ b/standins/service/service.h
@@ -11,20 +11,19 @@
 
 namespace toucanwharf::standins {
 
-/// A plain service that counts each run and can fail at every step.
-/// Thread safety: all methods may be called at once from several threads.
+/// A plain service that counts each run and can inject a fault at each step.
+/// Thread safety: safe; all methods may be called concurrently.
 class PlainService {
  public:
-  /// Makes the service \p service_name, run by instance \p instance_id.
   PlainService(std::string service_name, std::string instance_id);
 
-  /// Asked when the headers were read; false closes the connection.
+  /// Called when the headers have been read; false closes the connection.
   bool CheckHeaders(const HttpRequest& request);
-  /// Answers one call.
+  /// Handles one call.
   HttpReply Handle(const HttpRequest& request);
 
  private:
-  bool Use(const std::string& fault);
+  bool ConsumeFault(const std::string& fault);
   HttpReply SetFaults(const nlohmann::json& body);
   HttpReply Runs(const HttpRequest& request);
   HttpReply Run(const HttpRequest& request);
@@ -33,7 +32,7 @@
   std::string instance;
   std::mutex mutex;
   std::uint64_t delay_ms = 0;
-  /// How many of the next calls each fault still hits.
+  /// Number of coming calls that each fault still affects.
   std::map<std::string, std::uint64_t> faults;
   std::uint64_t total = 0;
   std::map<std::string, std::uint64_t> runs_by_key;
--- a/standins/token_model.h
+++ b/standins/token_model.h
@@ -12,12 +12,12 @@
 
 /// The arithmetic that the stand-in engines compute instead of a model. Each
 /// token depends on the seed, the prompt, all earlier tokens and on every
-/// layer in order, so a layer that is skipped, doubled, swapped or of another
-/// version changes the text. Tests and the load tool compute the right answer
-/// with the same functions. All of them are pure.
+/// layer in order, so a layer that is skipped, run twice, reordered or of
+/// another version changes the text. Tests and the load tool compute the
+/// expected answer with the same functions. All of them are pure.
 namespace toucanwharf::standins {
 
-/// What decides a layer's result besides the layer's number.
+/// Identifies the weights, which with a layer's index determine its result.
 struct Weights {
   std::string model;
   std::string version;
@@ -27,30 +27,30 @@
   friend bool operator==(const Weights&, const Weights&) = default;
 };
 
-/// FNV-1a, the same on every machine.
+/// Returns the FNV-1a hash of \p text, the same on every machine.
 constexpr std::uint64_t HashText(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const char letter : text) {
-    hash ^= static_cast<unsigned char>(letter);
+  for (const char c : text) {
+    hash ^= static_cast<unsigned char>(c);
     hash *= 0x100000001b3ULL;
   }
   return hash;
 }
 
-/// Folds \p word into \p state; the order of the words matters.
-constexpr std::uint64_t Fold(std::uint64_t state, std::uint64_t word) {
-  return MixBits(state * 0x100000001b3ULL + MixBits(word));
+/// Mixes \p value into \p state. The result depends on the order of calls.
+constexpr std::uint64_t Fold(std::uint64_t state, std::uint64_t value) {
+  return MixBits(state * 0x100000001b3ULL + MixBits(value));
 }
 
-/// Returns the number that stands for \p weights in each layer.
+/// Returns the hash of \p weights that RunLayers mixes in for each layer.
 inline std::uint64_t HashWeights(const Weights& weights) {
   return HashText(weights.model + '\0' + weights.version + '\0' +
                   weights.adapter);
 }
 
 /// Returns the state before layer 0 of token \p tokens.size().
-inline std::uint64_t FirstState(std::uint64_t seed, std::string_view prompt,
-                                const std::vector<std::string>& tokens) {
+inline std::uint64_t InitialState(std::uint64_t seed, std::string_view prompt,
+                                  const std::vector<std::string>& tokens) {
   std::uint64_t state = Fold(seed, HashText(prompt));
   for (const std::string& token : tokens) state = Fold(state, HashText(token));
   return Fold(state, tokens.size());
@@ -66,7 +66,7 @@
   return state;
 }
 
-/// Returns the token of the state after the last layer.
+/// Returns the token for \p state, the state after the last layer.
 inline std::string TokenOf(std::uint64_t state) {
   static constexpr std::array<std::string_view, 64> kWords = {
       "the",     "batch",   "is",      "released", "after",  "a",
@@ -83,8 +83,8 @@
   return " " + std::string(kWords.at(state % kWords.size()));
 }
 
-/// Returns the first \p count tokens that \p layers layers of \p weights give
-/// for \p prompt and \p seed.
+/// Returns the first \p count tokens that a model of \p layers layers with
+/// \p weights generates for \p prompt and \p seed.
 inline std::vector<std::string> ExpectedTokens(const Weights& weights,
                                                std::uint32_t layers,
                                                std::uint64_t seed,
@@ -93,13 +93,13 @@
   const std::uint64_t hash = HashWeights(weights);
   std::vector<std::string> tokens;
   while (tokens.size() < count) {
-    const std::uint64_t first = FirstState(seed, prompt, tokens);
+    const std::uint64_t first = InitialState(seed, prompt, tokens);
     tokens.push_back(TokenOf(RunLayers(first, 0, layers, hash)));
   }
   return tokens;
 }
 
-/// The same, with the names in the order in which tools have them at hand.
+/// Overload that takes the parts of Weights as separate arguments.
 inline std::vector<std::string> ExpectedTokens(
     const std::string& model, const std::string& version,
     const std::string& adapter, std::uint32_t layers, std::uint64_t seed,
@@ -114,7 +114,7 @@
 /// Bytes of prompt text in one block of the prefix cache.
 inline constexpr std::size_t kPrefixBlockBytes = 256;
 
-/// Returns the number of tokens that prefill of \p prompt costs.
+/// Returns the number of tokens that prefill of \p prompt processes.
 constexpr std::uint64_t PromptTokens(std::string_view prompt) {
   return (prompt.size() + kBytesPerToken - 1) / kBytesPerToken;
 }
--- a/test/process/caller_interface_test.cc
+++ b/test/process/caller_interface_test.cc
@@ -69,8 +69,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(CallerInterface, SmallFleet)
 
-// A caller's program is wrong. It gets a clear 4xx that says the request did
-// not run (I3), and the next caller is served as before.
+// Invalid requests get a 4xx response that reports the request as not run (I3),
+// and later requests are served as before.
 BOOST_AUTO_TEST_CASE(WrongInputGetsAClearRefusal) {
   const std::string chat = "/v1/chat/completions";
   const std::string good = R"({"model":"qa","messages":[{"role":"user",)";
@@ -108,10 +108,11 @@
   this->CheckServes();
 }
 
-// Many callers open connections and say nothing, others send half a request or
-// endless headers. Whoever asks properly is served meanwhile.
-BOOST_AUTO_TEST_CASE(IdleAndSlowConnectionsHarmNobody) {
-  // Both ends are open files of processes with a limit of 20,000 each.
+// Many callers open idle connections, others send half a request or endless
+// headers. Valid requests are served meanwhile.
+BOOST_AUTO_TEST_CASE(IdleAndSlowConnectionsBlockNoOtherCaller) {
+  // Each connection takes a file descriptor in the test and in the router,
+  // which have a limit of 20,000 each.
   constexpr int kIdle = 10000;
   const std::string address = this->fleet.RouterAddress(0);
   std::vector<int> idle;
@@ -130,10 +131,10 @@
   this->CheckServes();
 }
 
-// A customer asks for many times what the engine can run. Each answer is whole
-// or refused at once, as not run and with when to come back (I3); engines that
-// are asked past their slots and a queue without end were the cause.
-BOOST_AUTO_TEST_CASE(OverloadIsRefusedAtOnceAndTruthfully) {
+// A customer sends many times the load that the engine can run. Each answer is
+// complete, or refused immediately as not run and with Retry-After (I3). Guards
+// against requests beyond the engines' slots and against an unbounded queue.
+BOOST_AUTO_TEST_CASE(OverloadIsRefusedImmediatelyAsNotRun) {
   constexpr int kCallers = 150;
   constexpr std::uint32_t kTokens = 400;
   const auto expected = Fleet::Expected(kPrompt, kTokens, kSeed);
@@ -169,8 +170,8 @@
   BOOST_TEST_MESSAGE(whole << " of " << kCallers << " answered whole");
 }
 
-// One customer guesses the id of another's answer. It must learn nothing, not
-// even that the id exists (I2).
+// A customer that guesses the id of another customer's answer must learn
+// nothing, not even that the id exists (I2).
 BOOST_AUTO_TEST_CASE(ForeignIdsAreUnknownIds) {
   const auto own = this->fleet.Stream(0, kPrompt, 4, kSeed);
   BOOST_TEST(own.done);
@@ -181,9 +182,9 @@
   BOOST_TEST(guessed.status == 404);
 }
 
-// A caller loses its own connection in the middle of an answer. It reads on by
-// the answer's id and has every token once (I2).
-BOOST_AUTO_TEST_CASE(CallerReadsOnAfterLosingItsConnection) {
+// A caller loses its connection in the middle of an answer. It resumes by the
+// answer's id and receives every token exactly once (I2).
+BOOST_AUTO_TEST_CASE(CallerResumesAfterLosingItsConnection) {
   constexpr std::uint32_t kTokens = 40;
   const auto first = this->fleet.Stream(
       0, kPrompt, kTokens, kSeed, [](std::size_t read) { return read < 5; });
@@ -196,9 +197,9 @@
   BOOST_TEST(all == expected, boost::test_tools::per_element());
 }
 
-// The caller's way to its entry instance is cut, the instance itself works on.
-// The caller asks another instance for the rest and has every token once (I2).
-BOOST_AUTO_TEST_CASE(CallerReadsOnAtAnotherInstance) {
+// A caller loses its connection to the entry instance, which continues to run.
+// It resumes at another instance and receives every token exactly once (I2).
+BOOST_AUTO_TEST_CASE(CallerResumesAtAnotherInstance) {
   constexpr std::uint32_t kTokens = 40;
   const auto first = this->fleet.Stream(
       0, kPrompt, kTokens, kSeed, [](std::size_t read) { return read < 5; });
@@ -213,10 +214,11 @@
 }
 
 // An instance is replaced while callers hold its address and answers stream.
-// SIGTERM begins a drain: nothing is cut, and it exits 0 (I6). Other instances
-// name it until they have heard, so that a caller may come after the advice's
-// time to live (half a second here) since the drain began: it is served too.
-BOOST_AUTO_TEST_CASE(DrainCutsNothing) {
+// SIGTERM starts a drain: no answer is aborted, and the process exits with 0
+// (I6). Other instances advise it until they are notified, so a caller may
+// arrive later than the advice's time to live (half a second here) after the
+// drain started: it is served too.
+BOOST_AUTO_TEST_CASE(DrainAbortsNothing) {
   const auto across =
       this->fleet.Stream(0, kPrompt, 120, kSeed, [&](std::size_t read) {
         if (read == 3) this->fleet.Router(0).Signal(SIGTERM);
--- a/test/process/fixture.h
+++ b/test/process/fixture.h
@@ -11,40 +11,44 @@
 #include <string>
 #include <vector>
 
-/// What tests of several processes share: programs of this build as child
-/// processes on loopback, plain HTTP calls, and a fleet of stand-ins and
-/// routers. Only tests and benchmarks start processes; the product never does.
+/// Utilities for multi-process tests: programs of this build as child processes
+/// on loopback, plain HTTP calls, and a fleet of stand-ins and routers. Only
+/// tests and benchmarks start processes; the product never does.
 namespace toucanwharf::process_test {
 
-/// One child process. It is killed and reaped with the object, and by the
-/// kernel if the test itself dies.
+/// One child process. The destructor kills and reaps it; if the test process
+/// dies, the kernel kills it.
 /// Thread safety: none; one thread at a time.
 class Process {
  public:
   enum class OutputTo { kTest, kLog };
 
-  /// Starts \p program of the build folder, with default signals, and returns
-  /// when it has begun. Its standard error goes to the file \p log, or nowhere
-  /// if that is empty, and with \p output_to its standard output as well.
+  /// Starts \p program from the build directory, with SIGHUP at its default
+  /// action, and returns after exec. Its standard error is appended to the file
+  /// \p log, or discarded if that is empty; with OutputTo::kLog its standard
+  /// output goes there too.
   Process(const std::string& program, const std::vector<std::string>& arguments,
           const std::string& log = "", OutputTo output_to = OutputTo::kTest);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// Waits for a line of standard output that begins with \p word and returns
-  /// the rest of it. Throws std::runtime_error if the output ends first.
+  /// Waits for a line of standard output that starts with \p word and a space,
+  /// and returns the rest of it. Throws std::runtime_error if the output ends
+  /// first.
   std::string WaitForLine(const std::string& word);
 
-  /// Returns its process id, for what /proc tells of it.
+  /// Returns the process id, to look it up in /proc.
   pid_t Pid() const { return this->pid; }
-  /// Returns how it ended, empty while it runs or once it was reaped.
-  std::string Ended() const;
-  /// Sends \p signal_number; without effect once it was reaped.
+  /// Returns the exit code or signal as text; empty while the process runs or
+  /// once it was reaped.
+  std::string ExitDescription() const;
+  /// Sends \p signal_number; has no effect once the process was reaped.
   void Signal(int signal_number) const;
-  /// Kills the process (SIGKILL) and waits for its end.
+  /// Sends SIGKILL and waits until the process has ended.
   void Kill();
-  /// Waits for its end and returns the exit code, or -1 after a signal.
+  /// Waits until the process has ended. Returns its exit code, or -1 if a
+  /// signal ended it.
   int Wait();
 
  private:
@@ -53,15 +57,15 @@
   std::string unread;
 };
 
-/// Answer of a call; status 0 means none came.
+/// Response to a call; status 0 means that none was received.
 struct Answer {
   long status = 0;  // NOLINT(google-runtime-int): libcurl's type
   std::map<std::string, std::string> headers;
   std::string body;
-  /// Whether it came to its end as the protocol says.
+  /// Whether the response was received completely, as HTTP defines it.
   bool complete = false;
 
-  /// Returns the body as JSON, a discarded value if it is none.
+  /// Returns the body as JSON; a discarded value if it isn't valid JSON.
   nlohmann::json Json() const;
 };
 
@@ -76,31 +80,32 @@
   std::vector<std::string> headers;
   std::string body;
   int timeout_ms = 30000;
-  /// Gets the body's bytes as they come; returning false closes the call.
+  /// Receives the body as it arrives; returning false closes the connection.
   std::function<bool(const std::string&)> on_data;
 };
 
-/// Makes \p call on a connection of its own and waits for its end.
+/// Makes \p call on a new connection and blocks until it is complete.
 /// Thread safety: safe.
 Answer Send(const Call& call);
 
-/// Returns the address of a loopback port that was free a moment ago.
+/// Returns a loopback address with a port that was free when checked. Throws
+/// std::runtime_error if there is none.
 std::string FreeAddress();
 
-/// One stand-in engine to start.
+/// Description of a stand-in engine to start.
 struct EngineSpec {
   std::string id;
   std::string failure_domain = "casa-a";
   std::uint32_t begin = 0;
   std::uint32_t end = 0;
   std::uint64_t layer_micros = 2000;
-  std::vector<std::string> more_arguments;
+  std::vector<std::string> extra_arguments;
   /// Whether routers and engines reach it through a relay.
   bool behind_relay = false;
 };
 
-/// An answer as its caller read it, with the steady clock's time of each
-/// token.
+/// A streamed answer as received by its caller, with the arrival time of each
+/// token on the steady clock.
 struct StreamedAnswer {
   long status = 0;  // NOLINT(google-runtime-int): libcurl's type
   std::string id;
@@ -110,10 +115,10 @@
   std::string error;
 };
 
-/// The platform, engines and routers of one test, all on ephemeral loopback
-/// ports. One model "qa-model", version "v1", pipeline "qa", customer with key
-/// `kCustomerKey`.
-/// Thread safety: `Stream` may run in several threads; the rest in one.
+/// The platform, engines and routers of one test, all on free loopback ports.
+/// It has one model "qa-model", version "v1", one pipeline "qa", and one
+/// customer with key `kCustomerKey`. Thread safety: `Stream` may run in several
+/// threads; the rest in one.
 class Fleet {
  public:
   static constexpr const char* kCustomerKey = "customer-key-of-the-tests";
@@ -123,17 +128,18 @@
   /// Starts the platform and writes the records.
   Fleet();
 
-  /// Starts an engine, with a relay before it if asked, and lists it.
+  /// Starts an engine, behind a relay if requested, and registers it with the
+  /// platform.
   void AddEngine(const EngineSpec& spec);
-  /// Starts a router in \p failure_domain and returns its number, from 0.
+  /// Starts a router in \p failure_domain and returns its index, from 0.
   std::size_t AddRouter(const std::string& failure_domain);
   /// Waits until every router knows all engines and routers and serves the
-  /// pipeline; throws
-  /// std::runtime_error after half a minute.
+  /// pipeline. Throws std::runtime_error after 600 polls at 50 ms, about half a
+  /// minute.
   void WaitUntilServing();
 
-  /// Puts a relay that delays each way by \p millis before every router;
-  /// `Stream` and `Resume` go through it from now on.
+  /// Starts a relay before every router that delays each direction by \p millis
+  /// milliseconds; `Stream` and `Resume` use it from now on.
   void DelayCallers(int millis);
 
   Process& Platform() { return *this->platform; }
@@ -146,28 +152,28 @@
   const std::string& AdminAddress(std::size_t number) const {
     return this->admin_addresses.at(number);
   }
-  /// Sets faults of the engine \p id itself.
+  /// Sets the faults of the engine \p id.
   void EngineFault(const std::string& id, const nlohmann::json& fault) const;
-  /// Sets faults of the relay before the engine \p id.
+  /// Sets the faults of the relay before the engine \p id.
   void RelayFault(const std::string& id, const nlohmann::json& fault) const;
 
-  /// Asks router \p number for an answer and reads it to its end.
-  /// \p on_token is called after each token with the number read so far;
+  /// Requests a streamed answer from router \p number and reads all of it.
+  /// \p on_token is called after each token with the number received so far;
   /// returning false closes the caller's connection.
   StreamedAnswer Stream(
       std::size_t number, const std::string& prompt, std::uint32_t tokens,
       std::uint64_t seed,
       const std::function<bool(std::size_t)>& on_token = {}) const;
 
-  /// Reads on an answer at router \p number from token \p from.
+  /// Resumes reading an answer at router \p number, starting at token \p from.
   StreamedAnswer Resume(std::size_t number, const std::string& id,
                         std::size_t from) const;
 
-  /// Returns the value of the counter \p name of router \p number, 0 if it
-  /// has none yet.
+  /// Returns the value of the metric \p name of router \p number, or 0 if it
+  /// isn't exported yet.
   double Metric(std::size_t number, const std::string& name) const;
 
-  /// Returns the tokens that a whole right answer has.
+  /// Returns the tokens of the complete and correct answer.
   static std::vector<std::string> Expected(const std::string& prompt,
                                            std::uint32_t tokens,
                                            std::uint64_t seed);
@@ -175,8 +181,8 @@
  private:
   void PutRecord(const std::string& kind, const std::string& name,
                  const nlohmann::json& spec) const;
-  void List(const EngineSpec& spec, const std::string& address) const;
-  void List(const nlohmann::json& instance) const;
+  void Register(const EngineSpec& spec, const std::string& address) const;
+  void Register(const nlohmann::json& instance) const;
 
   std::unique_ptr<Process> platform;
   std::string platform_address;
--- a/test/process/fleet.cc
+++ b/test/process/fleet.cc
@@ -21,7 +21,7 @@
 constexpr const char* kPipeline = "qa";
 constexpr const char* kPeerKey = "peer-key-of-the-tests";
 constexpr std::chrono::milliseconds kPoll(50);
-constexpr int kMostPolls = 600;
+constexpr int kMaxPolls = 600;
 constexpr long kOk = 200;  // NOLINT(google-runtime-int): libcurl's type
 
 std::int64_t NowMicros() {
@@ -29,12 +29,13 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-/// Folder of this run's settings files and logs; removed by the system.
-std::string RunFolder() {
-  const auto folder = std::filesystem::temp_directory_path() /
-                      ("toucanwharf-test-" + std::to_string(getpid()));
-  std::filesystem::create_directories(folder);
-  return folder.string();
+/// Returns the directory of this run's settings files and logs. It is left in
+/// the system's temporary directory.
+std::string RunDirectory() {
+  const auto directory = std::filesystem::temp_directory_path() /
+                         ("toucanwharf-test-" + std::to_string(getpid()));
+  std::filesystem::create_directories(directory);
+  return directory.string();
 }
 
 void PostFault(const std::string& address, const Json& fault) {
@@ -42,17 +43,17 @@
   call.method = "POST";
   call.url = address + "/faults";
   call.body = fault.dump();
-  if (Send(call).status != kOk) throw std::runtime_error("no fault set");
+  if (Send(call).status != kOk) throw std::runtime_error("fault was not set");
 }
 
-/// Reads the events of a stream as they come.
+/// Parses the events of a stream incrementally.
 class EventReader {
  public:
   EventReader(StreamedAnswer& streamed,
               const std::function<bool(std::size_t)>& token_callback)
       : answer(streamed), on_token(token_callback) {}
 
-  bool Take(const std::string& bytes) {
+  bool Consume(const std::string& bytes) {
     this->unread += bytes;
     while (true) {
       const std::size_t end = this->unread.find("\n\n");
@@ -61,12 +62,12 @@
       this->unread.erase(0, end + 2);
       constexpr std::string_view kData = "data: ";
       if (!event.starts_with(kData)) continue;
-      if (!this->TakeData(event.substr(kData.size()))) return false;
+      if (!this->ConsumeData(event.substr(kData.size()))) return false;
     }
   }
 
  private:
-  bool TakeData(const std::string& data) {
+  bool ConsumeData(const std::string& data) {
     if (data == "[DONE]") {
       this->answer.done = true;
       return true;
@@ -96,7 +97,7 @@
   EventReader reader(streamed, on_token);
   call.key = Fleet::kCustomerKey;
   call.on_data = [&reader](const std::string& bytes) {
-    return reader.Take(bytes);
+    return reader.Consume(bytes);
   };
   const Answer answer = Send(call);
   streamed.status = answer.status;
@@ -145,38 +146,38 @@
       "--version=" + std::string(kVersion),
       "--layers=" + std::to_string(spec.begin) + "-" + std::to_string(spec.end),
       "--layer-micros=" + std::to_string(spec.layer_micros)};
-  arguments.insert(arguments.end(), spec.more_arguments.begin(),
-                   spec.more_arguments.end());
+  arguments.insert(arguments.end(), spec.extra_arguments.begin(),
+                   spec.extra_arguments.end());
   auto engine = std::make_unique<Process>("standin_engine", arguments);
   const std::string direct = engine->WaitForLine("listening");
   this->engine_addresses[spec.id] = direct;
   this->engines[spec.id] = std::move(engine);
   if (!spec.behind_relay) {
-    this->List(spec, direct);
+    this->Register(spec, direct);
     return;
   }
   auto relay = std::make_unique<Process>(
       "standin_relay", std::vector<std::string>{"--target=" + direct});
   this->relay_admins[spec.id] = relay->WaitForLine("admin");
-  this->List(spec, relay->WaitForLine("listening"));
+  this->Register(spec, relay->WaitForLine("listening"));
   this->relays[spec.id] = std::move(relay);
 }
 
-void Fleet::List(const EngineSpec& spec, const std::string& address) const {
-  this->List({{"id", spec.id},
-              {"address", address},
-              {"role", "engine"},
-              {"service", ""},
-              {"failure_domain", spec.failure_domain},
-              {"state", "live"}});
+void Fleet::Register(const EngineSpec& spec, const std::string& address) const {
+  this->Register({{"id", spec.id},
+                  {"address", address},
+                  {"role", "engine"},
+                  {"service", ""},
+                  {"failure_domain", spec.failure_domain},
+                  {"state", "live"}});
 }
 
-void Fleet::List(const Json& instance) const {
+void Fleet::Register(const Json& instance) const {
   Call call;
   call.method = "POST";
   call.url = this->platform_address + "/instances";
   call.body = instance.dump();
-  if (Send(call).status != kOk) throw std::runtime_error("not listed");
+  if (Send(call).status != kOk) throw std::runtime_error("not registered");
 }
 
 std::size_t Fleet::AddRouter(const std::string& failure_domain) {
@@ -193,18 +194,18 @@
       {"platform", {{"address", this->platform_address}}},
       {"keys", {{"admin", kAdminKey}, {"peer", kPeerKey}}},
       {"timeouts", {{"entries_ttl_ms", 500}}}};
-  const std::string file = RunFolder() + "/" + name + ".json";
+  const std::string file = RunDirectory() + "/" + name + ".json";
   std::ofstream(file) << settings.dump();
   this->routers.push_back(std::make_unique<Process>(
       "toucanwharfd", std::vector<std::string>{"--settings=" + file},
-      RunFolder() + "/" + name + ".log"));
-  this->List({{"id", name},
-              {"address", callers},
-              {"peer_address", peers},
-              {"admin_address", admin},
-              {"role", "router"},
-              {"failure_domain", failure_domain},
-              {"state", "live"}});
+      RunDirectory() + "/" + name + ".log"));
+  this->Register({{"id", name},
+                  {"address", callers},
+                  {"peer_address", peers},
+                  {"admin_address", admin},
+                  {"role", "router"},
+                  {"failure_domain", failure_domain},
+                  {"state", "live"}});
   this->router_addresses.push_back(callers);
   this->admin_addresses.push_back(admin);
   return number;
@@ -213,7 +214,7 @@
 void Fleet::WaitUntilServing() {
   for (std::size_t number = 0; number < this->routers.size(); ++number) {
     bool serving = false;
-    for (int poll = 0; poll < kMostPolls && !serving; ++poll) {
+    for (int poll = 0; poll < kMaxPolls && !serving; ++poll) {
       Call call;
       call.url = this->AdminAddress(number) + "/admin/status";
       call.key = kAdminKey;
@@ -224,7 +225,7 @@
       serving = all && this->Stream(number, "ready?", 1, 1).done;
       if (!serving) std::this_thread::sleep_for(kPoll);
     }
-    if (!serving) throw std::runtime_error("a router does not serve");
+    if (!serving) throw std::runtime_error("a router does not serve in time");
   }
 }
 
--- a/test/process/platform_fleet.cc
+++ b/test/process/platform_fleet.cc
@@ -22,7 +22,7 @@
 constexpr const char* kSecondModelService = "second-model-service";
 constexpr const char* kHost = "calls.example";
 constexpr const char* kDomains[] = {"domain-a", "domain-b"};
-/// Four hold the cover of a domain, one stands by.
+/// Four engines hold the cover of a domain, one is a spare.
 constexpr int kEnginesPerDomain = 5;
 constexpr int kPlainEndpoints = 2;
 
@@ -47,8 +47,8 @@
           {"resumable", std::string(kind) == "stream"}};
 }
 
-/// An engine holds three layers with room for the answers wanted, and six with
-/// room for few.
+/// An engine can hold three layers with capacity for the expected load, and six
+/// with capacity for little.
 Json EngineJson() {
   return {
       {"slots", 64},
@@ -79,10 +79,10 @@
   std::string pattern =
       (std::filesystem::temp_directory_path() / "toucanwharf-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("no folder for settings");
+    throw std::runtime_error("cannot create a directory for settings");
   }
-  this->folder = pattern;
-  for (std::size_t at = 0; at < count; ++at) {
+  this->directory = pattern;
+  for (std::size_t index = 0; index < count; ++index) {
     this->store_addresses.push_back(FreeAddress());
   }
   this->loop = std::make_unique<http::Loop>();
@@ -90,8 +90,8 @@
                                                          this->store_addresses);
   this->endpoints = std::make_unique<standins::fleet::Endpoints>(
       *this->loop, *this->store, kLayers);
-  for (std::size_t at = 0; store_links && at < count; ++at) {
-    std::string& address = this->store_addresses[at];
+  for (std::size_t index = 0; store_links && index < count; ++index) {
+    std::string& address = this->store_addresses[index];
     auto relay = std::make_unique<standins::Relay>(PortOf(address));
     address = "127.0.0.1:" + std::to_string(relay->Start(0));
     this->store_relays.push_back(relay.release());
@@ -100,35 +100,35 @@
   this->thread = std::thread([this] { this->loop->Run(); });
   this->Configure({kKey, kOtherKey});
   this->routers.resize(count);
-  for (std::size_t at = 0; at < count; ++at) this->StartRouter(at);
+  for (std::size_t index = 0; index < count; ++index) this->StartRouter(index);
   const bool ready = Eventually(
       [this, count] {
-        for (std::size_t at = 0; at < count; ++at) {
-          const bool named = this->Advice(at).size() == count;
-          if (!named || !this->Ready(at)) return false;
+        for (std::size_t index = 0; index < count; ++index) {
+          const bool named = this->Advice(index).size() == count;
+          if (!named || !this->Ready(index)) return false;
         }
         return this->Stream(0, "first-look").answer.status == http::kOk;
       },
       15000);
   if (ready) return;
   // No destructor runs for an object whose constructor throws.
-  this->Shut();
+  this->Shutdown();
   throw std::runtime_error("the fleet did not get ready; logs in " +
-                           this->folder);
+                           this->directory);
 }
 
-void PlatformFleet::Shut() {
+void PlatformFleet::Shutdown() {
   this->routers.clear();
   this->loop->Stop();
   this->thread.join();
 }
 
 PlatformFleet::~PlatformFleet() {
-  this->Shut();
+  this->Shutdown();
   this->endpoints.reset();
   this->store.reset();
   this->loop.reset();
-  std::filesystem::remove_all(this->folder);
+  std::filesystem::remove_all(this->directory);
 }
 
 void PlatformFleet::AddEndpoints() {
@@ -138,22 +138,22 @@
            std::to_string(this->ports.service);
   };
   for (const char* domain : kDomains) {
-    for (int at = 0; at < kEnginesPerDomain; ++at) {
-      this->endpoints->Add({std::string(domain) + "-" + std::to_string(at),
+    for (int i = 0; i < kEnginesPerDomain; ++i) {
+      this->endpoints->Add({std::string(domain) + "-" + std::to_string(i),
                             kModelService, address(), domain, "big"});
     }
   }
-  for (int at = 0; this->has_second_model && at < kEnginesPerDomain; ++at) {
-    this->endpoints->Add({"other-" + std::to_string(at), kSecondModelService,
+  for (int i = 0; this->has_second_model && i < kEnginesPerDomain; ++i) {
+    this->endpoints->Add({"other-" + std::to_string(i), kSecondModelService,
                           address(), kDomains[0], "big"});
   }
-  for (int at = 0; at < kPlainEndpoints; ++at) {
-    this->endpoints->Add({"plain-" + std::to_string(at), kPlainService,
-                          address(), kDomains[at], ""});
+  for (int i = 0; i < kPlainEndpoints; ++i) {
+    this->endpoints->Add({"plain-" + std::to_string(i), kPlainService,
+                          address(), kDomains[i], ""});
   }
 }
 
-void PlatformFleet::On(const std::function<void()>& act) {
+void PlatformFleet::RunOnLoop(const std::function<void()>& act) {
   std::promise<void> done;
   this->loop->Post([&] {
     act();
@@ -183,7 +183,7 @@
          {"engine", EngineJson()}}}},
       {"limits", Json::object()},
       {"tenants", customers}};
-  this->On([&] { this->store->Put("config", "main", configuration); });
+  this->RunOnLoop([&] { this->store->Put("config", "main", configuration); });
 }
 
 std::string PlatformFleet::RouterIp(std::size_t index) const {
@@ -197,7 +197,7 @@
 std::string PlatformFleet::WriteSettings(std::size_t index) const {
   const std::string ip = this->RouterIp(index);
   const std::string path =
-      this->folder + "/router-" + std::to_string(index) + ".conf";
+      this->directory + "/router-" + std::to_string(index) + ".conf";
   const auto listen = [&](int port) { return ip + ":" + std::to_string(port); };
   std::ofstream file(path);
   file << "node_name=router-" << index << "\n"
@@ -219,7 +219,7 @@
 
 void PlatformFleet::StartRouter(std::size_t index) {
   setenv("TOUCANWHARF_BOOT", this->WriteSettings(index).c_str(), 1);
-  // The process before may still hold the addresses.
+  // The previous process may still hold the addresses.
   this->routers.at(index).reset();
   this->routers.at(index) = std::make_unique<Process>(
       "toucanwharfd", std::vector<std::string>{"--platform"},
@@ -227,7 +227,7 @@
 }
 
 std::string PlatformFleet::LogOf(std::size_t index) const {
-  return this->folder + "/router-" + std::to_string(index) + ".log";
+  return this->directory + "/router-" + std::to_string(index) + ".log";
 }
 
 Answer PlatformFleet::Plain(std::size_t index, const std::string& path,
@@ -244,7 +244,7 @@
 
 EventStream PlatformFleet::Stream(std::size_t index, const std::string& id,
                                   const std::string& path,
-                                  std::size_t leave_after) {
+                                  std::size_t disconnect_after) {
   EventStream stream;
   std::string text;
   auto last = Clock::now();
@@ -261,8 +261,8 @@
     const auto pause =
         std::chrono::duration_cast<std::chrono::milliseconds>(now - last);
     if (!stream.ids.empty()) {
-      stream.longest_pause_ms =
-          std::max<std::int64_t>(stream.longest_pause_ms, pause.count());
+      stream.max_gap_ms =
+          std::max<std::int64_t>(stream.max_gap_ms, pause.count());
     }
     last = now;
     for (std::size_t end = text.find("\n\n"); end != std::string::npos;
@@ -270,7 +270,7 @@
       stream.ids.push_back(std::atoi(text.c_str() + sizeof("id:")));
       text.erase(0, end + 2);
     }
-    return leave_after == 0 || stream.ids.size() < leave_after;
+    return disconnect_after == 0 || stream.ids.size() < disconnect_after;
   };
   stream.answer = Send(call);
   return stream;
@@ -315,7 +315,7 @@
 
 std::vector<standins::fleet::Run> PlatformFleet::RunsOf(const std::string& id) {
   std::vector<standins::fleet::Run> found;
-  this->On([&] {
+  this->RunOnLoop([&] {
     for (const auto& run : this->endpoints->Runs()) {
       if (run.request_id == id) found.push_back(run);
     }
--- a/test/process/platform_test.cc
+++ b/test/process/platform_test.cc
@@ -36,12 +36,13 @@
 
 void CheckNoViolations(PlatformFleet& fleet) {
   std::vector<std::string> violations;
-  fleet.On([&] { violations = fleet.Endpoints().Violations(); });
+  fleet.RunOnLoop([&] { violations = fleet.Endpoints().Violations(); });
   BOOST_TEST(violations.empty(),
              (violations.empty() ? "" : violations.front()));
 }
 
-/// Makes \p act happen while \p stream is about half through.
+/// Streams the answer \p id through router 0 and calls \p act while it is in
+/// progress.
 EventStream StreamWith(PlatformFleet& fleet, const std::string& id,
                        const std::function<void()>& act) {
   auto stream =
@@ -54,20 +55,20 @@
   return stream.get();
 }
 
-/// Returns the engine that runs the last part of the path of the answer \p id.
+/// Returns the engine of the last stage of the path of the answer \p id.
 std::string LastEngineOf(PlatformFleet& fleet, const std::string& id) {
   const std::string path(fleet.RunsOf(id)[0].headers.Get("X-Hop-Count"));
   const std::string last = path.substr(path.rfind(',') + 1);
   std::string engine;
-  fleet.On(
+  fleet.RunOnLoop(
       [&] { engine = fleet.Endpoints().IdAt(last.substr(0, last.find('='))); });
   return engine;
 }
 
-// A caller reads, signs and asks the model on a calm day. Every answer is
-// whole and right, the model ran along an exact cover, and the endpoint saw
-// the caller's bytes and the customer's name but not the key.
-BOOST_AUTO_TEST_CASE(CalmDayServesTheWholePath) {
+// Reads, signatures and streamed answers without any fault. Every answer is
+// complete and correct, the model ran along an exact cover, and the endpoint
+// received the caller's bytes and the customer's name but not the key.
+BOOST_AUTO_TEST_CASE(RequestsOfEachKindAreServed) {
   PlatformFleet fleet(3);
   const std::string path = "/read/a%2Fb/..%20c?x=%41&y=+&y=2";
   const Answer read = fleet.Plain(0, path, "read-1");
@@ -85,14 +86,14 @@
   const auto signs = fleet.RunsOf("sign-1");
   BOOST_REQUIRE(signs.size() == 1U);
   BOOST_TEST(signs[0].body == "the body of sign-1");
-  for (std::size_t at = 0; at < 3; ++at) {
-    CheckWhole(fleet.Stream(at, "chat-" + std::to_string(at)));
+  for (std::size_t router = 0; router < 3; ++router) {
+    CheckWhole(fleet.Stream(router, "chat-" + std::to_string(router)));
   }
   CheckNoViolations(fleet);
 }
 
-// A caller uses a route that isn't there, and a key that nobody holds. Both
-// are told at once, and nothing runs.
+// Requests for an unknown route or with an unknown key are refused immediately,
+// and nothing runs.
 BOOST_AUTO_TEST_CASE(UnknownRouteAndKeyAreRefused) {
   PlatformFleet fleet(1);
   BOOST_TEST(fleet.Plain(0, "/nowhere/", "no-route").status == 404);
@@ -101,52 +102,54 @@
   BOOST_TEST(fleet.RunsOf("no-key").empty());
 }
 
-// An engine in the middle of a path falls silent. Its answers stand still; the
-// first engine of the path names it, and the answer goes around it. The caller
-// gets every event once and in order.
-BOOST_AUTO_TEST_CASE(AnswerGoesAroundSilentEngine) {
+// An engine in the middle of a path becomes unresponsive and its answers stall.
+// The first engine of the path reports it, and the answer is rerouted around
+// it. The caller gets every event once and in order.
+BOOST_AUTO_TEST_CASE(AnswerIsReroutedAroundUnresponsiveEngine) {
   PlatformFleet fleet(1);
   const EventStream stream = StreamWith(fleet, "around", [&] {
     const std::string first = fleet.RunsOf("around")[0].endpoint;
     const std::string domain = first.substr(0, first.rfind('-'));
-    fleet.On([&] {
-      for (int at = 0; at < 4; ++at) {
-        const std::string id = domain + "-" + std::to_string(at);
+    fleet.RunOnLoop([&] {
+      for (int i = 0; i < 4; ++i) {
+        const std::string id = domain + "-" + std::to_string(i);
         if (id != first) {
-          fleet.Endpoints().SetFault(id, EndpointFault::kDark);
+          fleet.Endpoints().SetFault(id, EndpointFault::kUnresponsive);
           return;
         }
       }
     });
   });
   CheckWhole(stream);
-  BOOST_TEST(stream.longest_pause_ms < 1500);
+  BOOST_TEST(stream.max_gap_ms < 1500);
   CheckNoViolations(fleet);
 }
 
-// An engine in the middle of a path falls silent, and the first engine's report
-// is too old to tell. Its callers' pause would be over before it does; the
-// router finds the silent engine by asking those of the path.
-BOOST_AUTO_TEST_CASE(SilentEngineIsFoundWithoutTheFirstOnesReport) {
+// An engine in the middle of a path becomes unresponsive, and the first
+// engine's reports don't name it in time: the callers would time out before.
+// The router finds the unresponsive engine by probing the engines of the path.
+BOOST_AUTO_TEST_CASE(UnresponsiveEngineIsFoundWithoutTheFirstEnginesReport) {
   PlatformFleet fleet(1);
-  fleet.On([&] { fleet.Endpoints().NameStalls(false); });
+  fleet.RunOnLoop([&] { fleet.Endpoints().ReportStalls(false); });
   const EventStream stream = StreamWith(fleet, "unnamed", [&] {
     const std::string last = LastEngineOf(fleet, "unnamed");
     BOOST_REQUIRE(last != fleet.RunsOf("unnamed")[0].endpoint);
-    fleet.On([&] { fleet.Endpoints().SetFault(last, EndpointFault::kDark); });
+    fleet.RunOnLoop([&] {
+      fleet.Endpoints().SetFault(last, EndpointFault::kUnresponsive);
+    });
   });
   CheckWhole(stream);
-  BOOST_TEST(stream.longest_pause_ms < 1000);
+  BOOST_TEST(stream.max_gap_ms < 1000);
   CheckNoViolations(fleet);
 }
 
-// The first engine of a path dies. Its connection breaks, and the answer goes
-// on at another engine after the last event that was handed out.
-BOOST_AUTO_TEST_CASE(AnswerGoesOnWhenItsFirstEngineDies) {
+// The first engine of a path crashes and its connection breaks. The answer
+// resumes at another engine after the last event sent to the caller.
+BOOST_AUTO_TEST_CASE(AnswerResumesWhenItsFirstEngineCrashes) {
   PlatformFleet fleet(1);
   const EventStream stream = StreamWith(fleet, "resumed", [&] {
     const std::string first = fleet.RunsOf("resumed")[0].endpoint;
-    fleet.On([&] { fleet.Endpoints().Crash(first); });
+    fleet.RunOnLoop([&] { fleet.Endpoints().Crash(first); });
   });
   CheckWhole(stream);
   const auto runs = fleet.RunsOf("resumed");
@@ -155,37 +158,39 @@
   CheckNoViolations(fleet);
 }
 
-// The first engine of a path falls silent. It answers for no report either, so
-// the answer goes on at another engine.
-BOOST_AUTO_TEST_CASE(AnswerGoesOnWhenItsFirstEngineFallsSilent) {
+// The first engine of a path becomes unresponsive and sends no reports either,
+// so the answer resumes at another engine.
+BOOST_AUTO_TEST_CASE(AnswerResumesWhenItsFirstEngineIsUnresponsive) {
   PlatformFleet fleet(1);
   const EventStream stream = StreamWith(fleet, "silent-first", [&] {
     const std::string first = fleet.RunsOf("silent-first")[0].endpoint;
-    fleet.On([&] { fleet.Endpoints().SetFault(first, EndpointFault::kDark); });
+    fleet.RunOnLoop([&] {
+      fleet.Endpoints().SetFault(first, EndpointFault::kUnresponsive);
+    });
   });
   CheckWhole(stream);
   CheckNoViolations(fleet);
 }
 
-// An engine breaks off in the middle of an event. The half event is dropped,
-// and the next engine sends it whole.
-BOOST_AUTO_TEST_CASE(HalfEventIsDropped) {
+// An engine aborts in the middle of an event. The truncated event is dropped,
+// and the next engine sends it completely.
+BOOST_AUTO_TEST_CASE(TruncatedEventIsDropped) {
   PlatformFleet fleet(1);
   const EventStream stream = StreamWith(fleet, "half", [&] {
     const std::string first = fleet.RunsOf("half")[0].endpoint;
-    fleet.On([&] {
-      fleet.Endpoints().SetFault(first, EndpointFault::kBreaksEvent);
+    fleet.RunOnLoop([&] {
+      fleet.Endpoints().SetFault(first, EndpointFault::kTruncatesEvent);
     });
   });
   CheckWhole(stream);
   BOOST_TEST(fleet.RunsOf("half").size() == 2U);
 }
 
-// A lot is signed, and the answer is lost on its way. The router can't know
-// whether the lot was signed: it says so, and does not sign again (I4).
+// A lot is signed, and the response is lost. The router can't know whether the
+// lot was signed: it reports that, and does not sign again (I4).
 BOOST_AUTO_TEST_CASE(LostAnswerOfSignatureIsUnknown) {
   PlatformFleet fleet(1);
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     fleet.Endpoints().SetFault("plain-0", EndpointFault::kLosesAnswers);
     fleet.Endpoints().SetFault("plain-1", EndpointFault::kLosesAnswers);
   });
@@ -193,19 +198,19 @@
   BOOST_TEST(fleet.RunsOf("lost").size() == 1U);
 }
 
-// One of two endpoints is full and says that it did not run the signature.
-// The other runs it, once; when both are full the caller is told "not run" and
-// when to come back.
+// One of two endpoints is full and reports that it did not run the signature.
+// The other runs it, once; when both are full the caller gets "not run" and
+// Retry-After.
 BOOST_AUTO_TEST_CASE(RefusedSignatureRunsElsewhere) {
   PlatformFleet fleet(1);
-  fleet.On(
+  fleet.RunOnLoop(
       [&] { fleet.Endpoints().SetFault("plain-0", EndpointFault::kFull); });
-  for (int at = 0; at < 6; ++at) {
-    const std::string id = "elsewhere-" + std::to_string(at);
+  for (int i = 0; i < 6; ++i) {
+    const std::string id = "elsewhere-" + std::to_string(i);
     BOOST_TEST(fleet.Plain(0, "/sign/lot", id).status == 200);
     BOOST_TEST(fleet.RunsOf(id).size() == 1U);
   }
-  fleet.On(
+  fleet.RunOnLoop(
       [&] { fleet.Endpoints().SetFault("plain-1", EndpointFault::kFull); });
   const Answer refused = fleet.Plain(0, "/sign/lot", "refused");
   BOOST_TEST(refused.status == 503);
@@ -213,31 +218,31 @@
   BOOST_TEST(fleet.RunsOf("refused").empty());
 }
 
-// Where a request's answer is due, a late answer to another request comes. The
-// caller must not get it (I2): the request is read again at the other endpoint.
+// An endpoint responds with a late answer to another request. The caller must
+// not get it (I2): the read is retried at the other endpoint.
 BOOST_AUTO_TEST_CASE(AnswerOfAnotherRequestIsDropped) {
   PlatformFleet fleet(1);
-  fleet.On([&] {
-    fleet.Endpoints().SetFault("plain-0", EndpointFault::kSendsOthersAnswer);
+  fleet.RunOnLoop([&] {
+    fleet.Endpoints().SetFault("plain-0", EndpointFault::kSendsForeignAnswer);
   });
-  for (int at = 0; at < 6; ++at) {
+  for (int i = 0; i < 6; ++i) {
     const Answer answer =
-        fleet.Plain(0, "/read/x", "mine-" + std::to_string(at));
+        fleet.Plain(0, "/read/x", "mine-" + std::to_string(i));
     BOOST_TEST(answer.status == 200);
     BOOST_TEST(answer.headers.at("x-request-id") ==
-               "mine-" + std::to_string(at));
+               "mine-" + std::to_string(i));
   }
 }
 
-// A failed read is read again elsewhere; a failed signature is handed on as
-// it is, since it ran.
+// A failed read is retried at another endpoint; a failed signature is returned
+// unchanged, since it ran.
 BOOST_AUTO_TEST_CASE(OnlyReadsAreRepeatedAfterFailure) {
   PlatformFleet fleet(1);
-  fleet.On(
+  fleet.RunOnLoop(
       [&] { fleet.Endpoints().SetFault("plain-0", EndpointFault::kFails); });
   int failed_signs = 0;
-  for (int at = 0; at < 6; ++at) {
-    const std::string id = std::to_string(at);
+  for (int i = 0; i < 6; ++i) {
+    const std::string id = std::to_string(i);
     BOOST_TEST(fleet.Plain(0, "/read/x", "read-" + id).status == 200);
     if (fleet.Plain(0, "/sign/x", "sign-" + id).status == 500) ++failed_signs;
     BOOST_TEST(fleet.RunsOf("sign-" + id).size() == 1U);
@@ -245,12 +250,12 @@
   BOOST_TEST(failed_signs > 0);
 }
 
-// The store turns one of three routers away, and a key is taken away
-// meanwhile. The router hears of it from the others, goes on serving the keys
-// that hold, and refuses the one that was taken away.
-BOOST_AUTO_TEST_CASE(PeersVouchForRouterWithoutStore) {
+// The store is unreachable for one of three routers, and a key is revoked
+// meanwhile. The router receives the change from its peers, continues to serve
+// the valid keys, and refuses the revoked one.
+BOOST_AUTO_TEST_CASE(PeersConfirmKeysForRouterWithoutStore) {
   PlatformFleet fleet(3);
-  fleet.On([&] { fleet.Store().SetFault(1, StoreFault::kReset); });
+  fleet.RunOnLoop([&] { fleet.Store().SetFault(1, StoreFault::kReset); });
   fleet.Configure({PlatformFleet::kKey});
   const bool revoked = PlatformFleet::Eventually(
       [&] {
@@ -259,29 +264,29 @@
       },
       2500);
   BOOST_TEST(revoked);
-  for (int at = 0; at < 40; ++at) {
+  for (int i = 0; i < 40; ++i) {
     BOOST_TEST(fleet.Plain(1, "/read/x", "vouched").status == 200);
     Pause(100);
   }
 }
 
-// The store is away for everybody. Nobody can know which keys still hold: once
-// the bound is over every request with a key is refused as not run (I3), and
-// requests without one are served. After the store's return all is as before.
-BOOST_AUTO_TEST_CASE(KeysStopWithoutStore) {
+// The store is unavailable for all routers, so none can know which keys are
+// still valid: after the bound every request with a key is refused as not run
+// (I3), and requests without one are served. After the outage all are served.
+BOOST_AUTO_TEST_CASE(KeysAreRefusedDuringStoreOutage) {
   PlatformFleet fleet(2);
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     fleet.Store().SetFault(0, StoreFault::kBusy);
-    fleet.Store().SetFault(1, StoreFault::kSilent);
+    fleet.Store().SetFault(1, StoreFault::kUnresponsive);
   });
   Pause(2600);
-  for (std::size_t at = 0; at < 2; ++at) {
-    BOOST_TEST(fleet.Plain(at, "/read/x", "late").status == 503);
-    BOOST_TEST(fleet.Plain(at, "/open/x", "open", "").status == 200);
-    BOOST_TEST(!fleet.Ready(at));
+  for (std::size_t router = 0; router < 2; ++router) {
+    BOOST_TEST(fleet.Plain(router, "/read/x", "late").status == 503);
+    BOOST_TEST(fleet.Plain(router, "/open/x", "open", "").status == 200);
+    BOOST_TEST(!fleet.Ready(router));
   }
   BOOST_TEST(fleet.RunsOf("late").empty());
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     fleet.Store().SetFault(0, StoreFault::kNone);
     fleet.Store().SetFault(1, StoreFault::kNone);
   });
@@ -290,11 +295,12 @@
   BOOST_TEST(back);
 }
 
-// A router loses power and starts anew while the store is away for it: it
-// knows no configuration, and answers "come back" rather than "no such route".
+// A router restarts after a crash while the store is unreachable for it.
+// Without a configuration it responds with 503 (retry later), not 404 (no such
+// route).
 BOOST_AUTO_TEST_CASE(RouterWithoutConfigurationRefusesOnly) {
   PlatformFleet fleet(1);
-  fleet.On([&] { fleet.Store().SetFault(0, StoreFault::kReset); });
+  fleet.RunOnLoop([&] { fleet.Store().SetFault(0, StoreFault::kReset); });
   fleet.Router(0).Kill();
   fleet.StartRouter(0);
   const bool listens = PlatformFleet::Eventually(
@@ -302,16 +308,16 @@
   BOOST_REQUIRE(listens);
   BOOST_TEST(fleet.Plain(0, "/read/x", "early").status == 503);
   BOOST_TEST(fleet.Plain(0, "/nowhere/", "early").status == 503);
-  fleet.On([&] { fleet.Store().SetFault(0, StoreFault::kNone); });
+  fleet.RunOnLoop([&] { fleet.Store().SetFault(0, StoreFault::kNone); });
   const bool back = PlatformFleet::Eventually(
       [&] { return fleet.Plain(0, "/read/x", "back").status == 200; });
   BOOST_TEST(back);
 }
 
-// A router starts anew, and callers come back in the moment in which it
-// listens, before it has read the configuration. They are served a little
-// later, instead of being sent away with a try less.
-BOOST_AUTO_TEST_CASE(CallersOfTheFirstMomentAreServed) {
+// A router restarts, and callers connect as soon as it listens, before it has
+// read the configuration. Their requests wait until it has, instead of being
+// refused, which would cost the callers a retry.
+BOOST_AUTO_TEST_CASE(RequestsDuringStartupAreServed) {
   PlatformFleet fleet(1);
   fleet.Router(0).Kill();
   fleet.StartRouter(0);
@@ -324,53 +330,56 @@
   BOOST_TEST(status == 200);
 }
 
-// An endpoint says that it leaves. Two seconds later nothing new goes to it
-// (I5), through any router.
-BOOST_AUTO_TEST_CASE(DrainingEndpointGetsNothingNew) {
+// Two seconds after an endpoint reports that it drains, no router sends new
+// requests to it (I5).
+BOOST_AUTO_TEST_CASE(DrainingEndpointGetsNoNewRequests) {
   PlatformFleet fleet(2);
-  fleet.On([&] { fleet.Endpoints().Drain("plain-0"); });
+  fleet.RunOnLoop([&] { fleet.Endpoints().Drain("plain-0"); });
   Pause(2000);
-  for (int at = 0; at < 10; ++at) {
-    const Answer answer = fleet.Plain(at % 2, "/read/x", "after-drain");
+  for (int i = 0; i < 10; ++i) {
+    const Answer answer = fleet.Plain(i % 2, "/read/x", "after-drain");
     BOOST_TEST(answer.body == "ran at plain-1");
   }
 }
 
-// The store is away for seconds. When it is back one router reads for all, and
-// the others go by its word. Seconds later an endpoint leaves and its entry is
-// removed: two seconds after that it still got requests through those others
-// (I5). They counted the grace for missing entries from the first list that
-// they took: of one revision the reader kept no entry, each of them one.
-BOOST_AUTO_TEST_CASE(EndpointThatLeavesAfterAnOutageGetsNothingNew) {
+// After a store outage of seconds one router reads for all, and the others
+// apply its copies. Seconds later the entry of an endpoint is removed; two
+// seconds after that it must get no new requests (I5). Guards against routers
+// that apply copies counting the grace for missing entries from the first list
+// that they apply: for the same revision the reader retained no entry, but each
+// of them retained one.
+BOOST_AUTO_TEST_CASE(EndpointRemovedAfterAnOutageGetsNoNewRequests) {
   constexpr std::size_t kRouters = 3;
   PlatformFleet fleet(kRouters);
   const auto set_fault = [&](std::size_t router, StoreFault fault) {
-    fleet.On([&] { fleet.Store().SetFault(router, fault); });
+    fleet.RunOnLoop([&] { fleet.Store().SetFault(router, fault); });
   };
-  for (std::size_t at = 0; at < kRouters; ++at) {
-    set_fault(at, StoreFault::kBusy);
+  for (std::size_t router = 0; router < kRouters; ++router) {
+    set_fault(router, StoreFault::kBusy);
   }
   Pause(4000);
   set_fault(0, StoreFault::kNone);
-  for (std::size_t at = 0; at < kRouters; ++at) {
+  for (std::size_t router = 0; router < kRouters; ++router) {
     BOOST_REQUIRE(
-        PlatformFleet::Eventually([&] { return fleet.Ready(at); }, 4000));
+        PlatformFleet::Eventually([&] { return fleet.Ready(router); }, 4000));
   }
-  for (std::size_t at = 1; at < kRouters; ++at) {
-    set_fault(at, StoreFault::kNone);
+  for (std::size_t router = 1; router < kRouters; ++router) {
+    set_fault(router, StoreFault::kNone);
   }
   Pause(3000);
-  fleet.On([&] { fleet.Store().Remove("servers", "plain-0"); });
+  fleet.RunOnLoop([&] { fleet.Store().Remove("servers", "plain-0"); });
   Pause(2000);
-  for (std::size_t at = 0; at < 4 * kRouters; ++at) {
-    const Answer answer = fleet.Plain(at % kRouters, "/read/x", "after-leave");
+  for (std::size_t router = 0; router < 4 * kRouters; ++router) {
+    const Answer answer =
+        fleet.Plain(router % kRouters, "/read/x", "after-leave");
     BOOST_TEST(answer.body == "ran at plain-1");
   }
 }
 
-// A router is told to stop while it streams an answer. It leaves everybody's
-// advice at once, the answer ends whole (I6), and the process exits cleanly.
-BOOST_AUTO_TEST_CASE(StopCutsNothing) {
+// A router gets SIGTERM while it streams an answer. The other routers remove it
+// from their advice within a second, the answer is complete (I6), and the
+// process exits with 0.
+BOOST_AUTO_TEST_CASE(StopAbortsNoAnswer) {
   PlatformFleet fleet(2);
   const EventStream stream = StreamWith(fleet, "stopped", [&] {
     fleet.Router(0).Signal(SIGTERM);
@@ -389,9 +398,9 @@
 }
 
 // Two of three routers are killed, and then in each failure domain more engines
-// die than stand by. The router that is left takes the lease and places the
-// layers anew on the engines that are left.
-BOOST_AUTO_TEST_CASE(AnotherRouterPlacesLayers) {
+// crash than there are spares. The remaining router acquires the lease and
+// places the layers again on the remaining engines.
+BOOST_AUTO_TEST_CASE(RemainingRouterPlacesLayers) {
   PlatformFleet fleet(3);
   fleet.Router(0).Kill();
   fleet.Router(1).Kill();
@@ -399,7 +408,7 @@
       [&] { return fleet.Stream(2, "alive").answer.status == 200; });
   BOOST_TEST(taken);
   std::uint64_t orders = 0;
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     for (const char* id :
          {"domain-a-1", "domain-a-2", "domain-b-1", "domain-b-2"}) {
       fleet.Endpoints().Crash(id);
@@ -410,7 +419,7 @@
   const bool placed = PlatformFleet::Eventually(
       [&] {
         std::uint64_t now = 0;
-        fleet.On([&] { now = fleet.Endpoints().Orders(); });
+        fleet.RunOnLoop([&] { now = fleet.Endpoints().Orders(); });
         return now > orders;
       },
       12000);
@@ -421,8 +430,8 @@
   CheckNoViolations(fleet);
 }
 
-// Two models are served side by side. The layout of one replaced that of the
-// other in the orders, so that only the last one was ever placed.
+// Two models are served concurrently. Guards against the layout of one model
+// replacing that of the other in the orders, so that only the last is placed.
 BOOST_AUTO_TEST_CASE(TwoModelsArePlacedSideBySide) {
   PlatformFleet fleet(1, true);
   const bool served = PlatformFleet::Eventually(
@@ -432,11 +441,11 @@
   CheckNoViolations(fleet);
 }
 
-// Another writer leaves entries that can't be read among the endpoints'. They
-// name no endpoint, and the others hold.
-BOOST_AUTO_TEST_CASE(UnreadableEntriesHarmNobody) {
+// Another writer stores malformed entries among those of the endpoints. They
+// are ignored, and the other entries stay valid.
+BOOST_AUTO_TEST_CASE(MalformedEntriesAreIgnored) {
   PlatformFleet fleet(1);
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     fleet.Store().Put("servers", "a-number", 7);
     fleet.Store().Put("servers", "no-address",
                       {{"service", "plain-service"}, {"state", "ready"}});
@@ -453,56 +462,57 @@
                        {"state", "ready"}});
   });
   Pause(1500);
-  for (int at = 0; at < 10; ++at) {
+  for (int i = 0; i < 10; ++i) {
     BOOST_TEST(fleet.Plain(0, "/read/x", "read").status == 200);
   }
   CheckWhole(fleet.Stream(0, "chat"));
 }
 
-// Answers of the store are lost after the change was made. Registration and
-// lease settle, and requests are served all the while.
-BOOST_AUTO_TEST_CASE(LostAnswersOfStoreSettle) {
+// Responses of the store are lost after it applied the write. Registration and
+// lease recover, and requests are served meanwhile.
+BOOST_AUTO_TEST_CASE(LostStoreResponsesAreRecovered) {
   PlatformFleet fleet(2);
-  fleet.On([&] {
+  fleet.RunOnLoop([&] {
     fleet.Store().SetFault(0, StoreFault::kLosesAnswers);
     fleet.Store().SetFault(1, StoreFault::kLosesAnswers);
   });
-  for (int at = 0; at < 20; ++at) {
-    BOOST_TEST(fleet.Plain(at % 2, "/read/x", "read").status == 200);
+  for (int i = 0; i < 20; ++i) {
+    BOOST_TEST(fleet.Plain(i % 2, "/read/x", "read").status == 200);
     Pause(100);
   }
   CheckWhole(fleet.Stream(0, "chat"));
 }
 
-// All routers start anew at once, and none is told where another is. The store
-// is slow to write: every router read the list of routers before any entry was
-// in it, none ever heard of another, and callers were sent to one of them only.
+// All routers restart together without knowing each other's addresses, and the
+// store is slow to write. Guards against every router reading the list of
+// routers before it has any entry, so that none ever contacts another and
+// callers are sent to only one of them.
 BOOST_AUTO_TEST_CASE(RoutersThatStartTogetherFindEachOther) {
   constexpr std::size_t kRouters = 2;
   PlatformFleet fleet(kRouters);
-  for (std::size_t at = 0; at < kRouters; ++at) fleet.Router(at).Kill();
-  fleet.On([&] {
-    for (std::size_t at = 0; at < kRouters; ++at) {
-      fleet.Store().Remove("routers", "router-" + std::to_string(at));
-      fleet.Store().SetFault(at, StoreFault::kSlowWrites);
+  for (std::size_t i = 0; i < kRouters; ++i) fleet.Router(i).Kill();
+  fleet.RunOnLoop([&] {
+    for (std::size_t router = 0; router < kRouters; ++router) {
+      fleet.Store().Remove("routers", "router-" + std::to_string(router));
+      fleet.Store().SetFault(router, StoreFault::kSlowWrites);
     }
   });
-  for (std::size_t at = 0; at < kRouters; ++at) fleet.StartRouter(at);
-  for (std::size_t at = 0; at < kRouters; ++at) {
+  for (std::size_t i = 0; i < kRouters; ++i) fleet.StartRouter(i);
+  for (std::size_t router = 0; router < kRouters; ++router) {
     BOOST_TEST(PlatformFleet::Eventually(
-        [&] { return fleet.Advice(at).size() == kRouters; }));
+        [&] { return fleet.Advice(router).size() == kRouters; }));
   }
 }
 
-// All routers are killed and start anew. Each took the whole fleet's slack of
-// retries for its own until it had heard of the others: the entry of its former
-// life kept it from reading the list of routers for 0.7 s, and its log said
-// until then that the budget was shared by 1 or 4.
-BOOST_AUTO_TEST_CASE(RouterThatStartsAnewKnowsAtOnceHowManyThereAre) {
+// All routers are killed, and one restarts. Guards against a router that uses
+// the retry slack of the whole fleet alone until its peers contact it: its
+// entry from before the restart can keep it from reading the list of routers
+// for 0.7 s, and until then it reports a budget shared by 1 or 4 instances.
+BOOST_AUTO_TEST_CASE(RestartedRouterReadsTheRouterCountFromTheStore) {
   constexpr std::size_t kRouters = 2;
   PlatformFleet fleet(kRouters);
-  for (std::size_t at = 0; at < kRouters; ++at) fleet.Router(at).Kill();
-  // The other stays away, so that only the store can tell of it.
+  for (std::size_t i = 0; i < kRouters; ++i) fleet.Router(i).Kill();
+  // The other router stays down, so that only the store lists it.
   fleet.StartRouter(0);
   const bool listens =
       PlatformFleet::Eventually([&] { return !fleet.Metrics(0).empty(); });
@@ -516,39 +526,41 @@
   BOOST_TEST(knows);
 }
 
-/// Waits until \p process no longer ends by a reload signal. Returns how much
-/// processor time it had used by then, which says how long it was open to one
-/// on whatever machine.
-std::chrono::nanoseconds OpenToReloads(const Process& process) {
-  const std::string folder = "/proc/" + std::to_string(process.Pid());
-  constexpr int kLooks = 100000;
-  for (int look = 0; look < kLooks; ++look) {
-    std::ifstream status(folder + "/status");
-    std::uint64_t shielded = 0;
+/// Waits until \p process handles or ignores SIGHUP. Returns the CPU time that
+/// it had used by then, which measures independently of the machine's load how
+/// long SIGHUP would have ended it.
+std::chrono::nanoseconds CpuTimeUntilReloadSafe(const Process& process) {
+  const std::string directory = "/proc/" + std::to_string(process.Pid());
+  constexpr int kMaxPolls = 100000;
+  for (int look = 0; look < kMaxPolls; ++look) {
+    std::ifstream status(directory + "/status");
+    std::uint64_t handled = 0;
     for (std::string line; std::getline(status, line);) {
       const bool mask =
           line.starts_with("SigIgn:") || line.starts_with("SigCgt:");
-      if (mask) shielded |= std::stoull(line.substr(8), nullptr, 16);
+      if (mask) handled |= std::stoull(line.substr(8), nullptr, 16);
     }
-    if ((shielded & 1U << (SIGHUP - 1)) != 0) break;
+    if ((handled & 1U << (SIGHUP - 1)) != 0) break;
   }
   std::int64_t used = 0;
-  std::ifstream(folder + "/schedstat") >> used;
+  std::ifstream(directory + "/schedstat") >> used;
   return std::chrono::nanoseconds(used);
 }
 
-// Guards against a reload signal that ends a process which has just been
-// started: it loads few libraries before it can ignore one.
-BOOST_AUTO_TEST_CASE(ReloadSignalsInTheFirstMomentEndNothing) {
+// Guards against a reload signal ending a process that was just started: it
+// must load few libraries before it ignores the signal.
+BOOST_AUTO_TEST_CASE(ReloadSignalsDuringStartupEndNoProcess) {
   PlatformFleet fleet(2);
-  constexpr std::chrono::nanoseconds kMostOpen = std::chrono::milliseconds(10);
+  constexpr std::chrono::nanoseconds kMaxExposure =
+      std::chrono::milliseconds(10);
   constexpr int kSignals = 40;
   constexpr int kStarts = 3;
   for (int start = 0; start < kStarts; ++start) {
     fleet.Router(1).Kill();
     fleet.StartRouter(1);
-    BOOST_TEST(OpenToReloads(fleet.Router(1)).count() <= kMostOpen.count());
-    for (int at = 0; at < kSignals; ++at) {
+    BOOST_TEST(CpuTimeUntilReloadSafe(fleet.Router(1)).count() <=
+               kMaxExposure.count());
+    for (int i = 0; i < kSignals; ++i) {
       fleet.Router(1).Signal(SIGHUP);
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
@@ -557,7 +569,7 @@
 }
 
 // Operators read the metrics of an instance on its control address.
-BOOST_AUTO_TEST_CASE(MetricsTellWhatIsServed) {
+BOOST_AUTO_TEST_CASE(MetricsReportServedRequests) {
   PlatformFleet fleet(1);
   BOOST_TEST(fleet.Plain(0, "/read/x", "read").status == 200);
   const std::string text = fleet.Metrics(0);
@@ -569,17 +581,17 @@
   }
 }
 
-// On a calm day the store is called about twice a second by all routers
-// together: one reads for all, and the others trust its word.
+// Without faults all routers together call the store about twice a second: one
+// reads for all, and the others apply its copies.
 BOOST_AUTO_TEST_CASE(StoreIsCalledRarely) {
   PlatformFleet fleet(3);
   Pause(1500);
   std::uint64_t before = 0;
-  fleet.On([&] { before = fleet.Store().Calls(); });
+  fleet.RunOnLoop([&] { before = fleet.Store().Calls(); });
   Pause(4000);
   std::uint64_t after = 0;
-  fleet.On([&] { after = fleet.Store().Calls(); });
-  // Lists come in pages of five here: two calls more each.
+  fleet.RunOnLoop([&] { after = fleet.Store().Calls(); });
+  // This store lists in pages of five: two more calls for each list.
   BOOST_TEST(after - before < 48U);
 }
 
--- a/test/process/process.cc
+++ b/test/process/process.cc
@@ -17,10 +17,10 @@
 namespace {
 
 constexpr int kExecFailed = 127;
-constexpr const char* kNowhere = "/dev/null";
+constexpr const char* kNullDevice = "/dev/null";
 
-std::size_t TakeBody(const char* bytes, std::size_t size, std::size_t count,
-                     void* context) {
+std::size_t AppendBody(const char* bytes, std::size_t size, std::size_t count,
+                       void* context) {
   auto& [call, answer] =
       *static_cast<std::pair<const Call*, Answer*>*>(context);
   const std::string text(bytes, size * count);
@@ -29,16 +29,15 @@
   return size * count;
 }
 
-std::size_t TakeHeader(const char* bytes, std::size_t size, std::size_t count,
-                       void* context) {
+std::size_t StoreHeader(const char* bytes, std::size_t size, std::size_t count,
+                        void* context) {
   auto& headers = *static_cast<std::map<std::string, std::string>*>(context);
   const std::string line(bytes, size * count);
   const std::size_t colon = line.find(':');
   if (colon == std::string::npos) return size * count;
   std::string name = line.substr(0, colon);
-  for (char& letter : name) {
-    letter =
-        static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
+  for (char& c : name) {
+    c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   }
   const std::size_t begin = line.find_first_not_of(' ', colon + 1);
   const std::size_t end = line.find_last_not_of("\r\n ");
@@ -54,40 +53,43 @@
                  const std::vector<std::string>& arguments,
                  const std::string& log, OutputTo output_to) {
   const std::string path = std::string(TOUCANWHARF_BUILD_DIR) + "/" + program;
-  std::vector<std::string> words = {path};
-  words.insert(words.end(), arguments.begin(), arguments.end());
+  std::vector<std::string> argv = {path};
+  argv.insert(argv.end(), arguments.begin(), arguments.end());
   std::vector<char*> pointers;
-  for (std::string& word : words) pointers.push_back(word.data());
+  for (std::string& word : argv) pointers.push_back(word.data());
   pointers.push_back(nullptr);
-  const std::string errors = log.empty() ? kNowhere : log;
-  int ends[2];
-  int begins[2];
-  if (pipe2(ends, O_CLOEXEC) != 0 || pipe2(begins, O_CLOEXEC) != 0) {
-    throw std::runtime_error("no pipe");
+  const std::string errors = log.empty() ? kNullDevice : log;
+  int output_pipe[2];
+  int exec_pipe[2];
+  if (pipe2(output_pipe, O_CLOEXEC) != 0 || pipe2(exec_pipe, O_CLOEXEC) != 0) {
+    throw std::runtime_error("cannot create pipes");
   }
   const pid_t parent = getpid();
   this->pid = fork();
-  if (this->pid < 0) throw std::runtime_error("no process");
+  if (this->pid < 0) throw std::runtime_error("cannot fork");
   if (this->pid == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // As the platform starts it, whatever this test ignores.
+    // The platform starts it with the default action, whatever this test
+    // ignores.
     signal(SIGHUP, SIG_DFL);
     if (getppid() != parent) _exit(kExecFailed);
     const int error_file =
         open(errors.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-    dup2(output_to == OutputTo::kLog ? error_file : ends[1], STDOUT_FILENO);
+    dup2(output_to == OutputTo::kLog ? error_file : output_pipe[1],
+         STDOUT_FILENO);
     dup2(error_file, STDERR_FILENO);
     execv(path.c_str(), pointers.data());
     _exit(kExecFailed);
   }
-  close(ends[1]);
-  this->output = ends[0];
-  // The program's own copy of this end closes as the program begins: from then
-  // on signals reach the program and not this test's copy.
-  close(begins[1]);
-  char none = 0;
-  [[maybe_unused]] const ssize_t begun = read(begins[0], &none, 1);
-  close(begins[0]);
+  close(output_pipe[1]);
+  this->output = output_pipe[0];
+  // exec closes the child's copy of this end, so the read below returns when
+  // the program runs: from then on signals reach the program and not the
+  // forked copy of this test.
+  close(exec_pipe[1]);
+  char unused = 0;
+  [[maybe_unused]] const ssize_t bytes_read = read(exec_pipe[0], &unused, 1);
+  close(exec_pipe[0]);
 }
 
 Process::~Process() {
@@ -106,7 +108,7 @@
     }
     char bytes[512];
     const ssize_t count = read(this->output, bytes, sizeof(bytes));
-    if (count <= 0) throw std::runtime_error("no line with " + word);
+    if (count <= 0) throw std::runtime_error("output has no line with " + word);
     this->unread.append(bytes, static_cast<std::size_t>(count));
   }
 }
@@ -128,7 +130,7 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-std::string Process::Ended() const {
+std::string Process::ExitDescription() const {
   if (this->pid <= 0) return "";
   siginfo_t end{};
   const bool ended = waitid(P_PID, static_cast<id_t>(this->pid), &end,
@@ -157,15 +159,15 @@
     headers = curl_slist_append(headers, line.c_str());
   }
   curl_easy_setopt(easy, CURLOPT_URL, ("http://" + call.url).c_str());
-  // Tests choose each byte of the path.
+  // Tests control each byte of the path.
   curl_easy_setopt(easy, CURLOPT_PATH_AS_IS, 1L);
   curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, call.method.c_str());
   curl_easy_setopt(easy, CURLOPT_HTTPHEADER, headers);
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, long{call.timeout_ms});
-  curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, TakeBody);
+  curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, AppendBody);
   curl_easy_setopt(easy, CURLOPT_WRITEDATA, &context);
-  curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, TakeHeader);
+  curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, StoreHeader);
   curl_easy_setopt(easy, CURLOPT_HEADERDATA, &answer.headers);
   if (!call.body.empty()) {
     curl_easy_setopt(easy, CURLOPT_POSTFIELDS, call.body.c_str());
@@ -179,22 +181,22 @@
   return answer;
 }
 
-// Below the range from which the system takes ports for outgoing connections:
-// one of those was at times handed to another connection between this check
-// and the router's own bind, and the router then ended with "cannot listen".
+// Ports are below the range that the system uses for outgoing connections:
+// otherwise another connection could take the port between this check and the
+// router's own bind, and the router would exit with "cannot listen".
 std::string FreeAddress() {
   constexpr unsigned kFirst = 12000;
   constexpr unsigned kCount = 20000;
   static std::atomic<unsigned> next = static_cast<unsigned>(getpid()) * 101;
-  for (unsigned tries = 0; tries < kCount; ++tries) {
+  for (unsigned attempt = 0; attempt < kCount; ++attempt) {
     const unsigned port = kFirst + next++ % kCount;
     const int probe = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(static_cast<std::uint16_t>(port));
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const auto* plain = reinterpret_cast<const sockaddr*>(&address);
-    const bool free = bind(probe, plain, sizeof(address)) == 0;
+    const auto* generic = reinterpret_cast<const sockaddr*>(&address);
+    const bool free = bind(probe, generic, sizeof(address)) == 0;
     close(probe);
     if (free) return "127.0.0.1:" + std::to_string(port);
   }
--- a/test/process/recovery_test.cc
+++ b/test/process/recovery_test.cc
@@ -10,12 +10,12 @@
 
 constexpr std::uint32_t kTokens = 24;
 constexpr std::uint64_t kSeed = 7;
-/// The fault happens when the caller has read so many tokens.
+/// Number of tokens that the caller has read when the fault is injected.
 constexpr std::size_t kFaultAt = 6;
 const std::string kPrompt = "Summarise the deviations of lot 2231.";
 
-/// Two engines for each half of the layers, in two failure domains, each
-/// behind a relay, and one router.
+/// Two engines for each half of the layers, one per failure domain, each behind
+/// a relay, and one router.
 struct TwoOfEach {
   TwoOfEach() {
     for (const std::string domain : {"casa-a", "casa-b"}) {
@@ -37,8 +37,8 @@
     this->fleet.AddEngine(spec);
   }
 
-  /// Streams one answer with \p fault in its middle and checks that the caller
-  /// reads all of it, right and without an error.
+  /// Streams one answer, calls \p fault in the middle of it, and checks that
+  /// the caller reads the complete, correct answer without an error.
   void CheckWholeAnswer(const std::function<void()>& fault) {
     const StreamedAnswer answer =
         this->fleet.Stream(0, kPrompt, kTokens, kSeed, [&](std::size_t read) {
@@ -52,7 +52,7 @@
     BOOST_TEST(answer.tokens == expected, boost::test_tools::per_element());
   }
 
-  /// Checks that the faults did hit \p count answers.
+  /// Checks that the faults made at least \p count answers recover.
   void CheckRecoveries(double count) {
     BOOST_TEST(this->fleet.Metric(0, "toucanwharf_recoveries_total") >= count);
   }
@@ -60,33 +60,34 @@
   Fleet fleet;
 };
 
-/// The engines of the router's own failure domain serve first.
+/// Engines in the router's failure domain, which the router prefers.
 constexpr const char* kFront = "front-casa-a";
 constexpr const char* kBack = "back-casa-a";
 
 BOOST_FIXTURE_TEST_SUITE(Recovery, TwoOfEach)
 
-// An engine's instance is lost while a release note streams: first the one of
-// the second stage, in a later answer the one of the first. The pharmacist
-// reads the whole note both times.
-BOOST_AUTO_TEST_CASE(KilledStagesCutNoAnswer) {
+// An engine is killed while an answer streams: first that of the second stage,
+// in a later answer that of the first stage. The caller reads the complete
+// answer both times.
+BOOST_AUTO_TEST_CASE(KilledStagesAbortNoAnswer) {
   this->CheckWholeAnswer([this] { this->fleet.Engine(kBack).Kill(); });
   this->CheckWholeAnswer([this] { this->fleet.Engine(kFront).Kill(); });
   this->CheckRecoveries(2);
 }
 
-// An engine's process freezes and its connections stay open. The answer stops
-// without an error until the router's deadline; it goes on elsewhere.
-BOOST_AUTO_TEST_CASE(FrozenStagesCutNoAnswer) {
+// An engine's process is suspended and its connections stay open. The answer
+// stalls without an error until the router's deadline, then resumes at another
+// engine.
+BOOST_AUTO_TEST_CASE(SuspendedStagesAbortNoAnswer) {
   this->CheckWholeAnswer([this] { this->fleet.Engine(kBack).Signal(SIGSTOP); });
   this->CheckWholeAnswer(
       [this] { this->fleet.Engine(kFront).Signal(SIGSTOP); });
   this->CheckRecoveries(2);
 }
 
-// Something between router and engine forgets the connections that are open;
-// new ones work. The answer goes on over a fresh connection.
-BOOST_AUTO_TEST_CASE(SilentConnectionCutsNoAnswer) {
+// A middlebox between router and engine drops the state of the open
+// connections; new ones work. The answer resumes over a new connection.
+BOOST_AUTO_TEST_CASE(BlackholedConnectionAbortsNoAnswer) {
   this->CheckWholeAnswer([this] {
     this->fleet.RelayFault(kFront, {{"silence", "open"}});
     this->fleet.RelayFault("front-casa-b", {{"silence", "open"}});
@@ -94,32 +95,32 @@
   this->CheckRecoveries(1);
 }
 
-// The connection between two engines goes silent; the first engine waits for
-// the second and says nothing.
-BOOST_AUTO_TEST_CASE(SilentConnectionBetweenStagesCutsNoAnswer) {
+// The connection between two engines is blackholed; the first engine waits for
+// the second without reporting an error.
+BOOST_AUTO_TEST_CASE(BlackholedConnectionBetweenStagesAbortsNoAnswer) {
   this->CheckWholeAnswer([this] {
     this->fleet.RelayFault(kBack, {{"silence", "open"}});
   });
 }
 
-// All connections to the first stage go silent, old and new.
-BOOST_AUTO_TEST_CASE(UnreachableStageCutsNoAnswer) {
+// All connections to the first stage are blackholed, open and new ones.
+BOOST_AUTO_TEST_CASE(UnreachableStageAbortsNoAnswer) {
   this->CheckWholeAnswer([this] {
     this->fleet.RelayFault(kFront, {{"silence", "all"}});
   });
 }
 
-// A link degrades to 300 ms each way. The answer may go on slowly or move; it
-// must be whole.
-BOOST_AUTO_TEST_CASE(SlowLinkCutsNoAnswer) {
+// The latency of a link rises to 300 ms in each direction. The answer may
+// continue slowly or on another path; it must be complete.
+BOOST_AUTO_TEST_CASE(SlowLinkAbortsNoAnswer) {
   this->CheckWholeAnswer([this] {
     this->fleet.RelayFault(kBack, {{"delay_ms", 300}});
   });
 }
 
-// A stage dies, and while the answer resumes a stage of the other failure
-// domain is cut off as well. One cover is left.
-BOOST_AUTO_TEST_CASE(TwoFaultsAtOnceCutNoAnswer) {
+// A stage is killed, and a stage of the other failure domain becomes
+// unreachable while the answer resumes. One cover remains.
+BOOST_AUTO_TEST_CASE(ConcurrentFaultsAbortNoAnswer) {
   this->CheckWholeAnswer([this] {
     this->fleet.Engine(kBack).Kill();
     this->fleet.RelayFault("front-casa-b", {{"cut", true}, {"refuse", true}});
--- a/test/process/state_test.cc
+++ b/test/process/state_test.cc
@@ -19,16 +19,16 @@
 using Json = nlohmann::json;
 
 constexpr std::chrono::milliseconds kPoll(50);
-constexpr int kMostPolls = 600;
-/// Longer than a lease's term of 6 s.
-constexpr std::chrono::seconds kPastTheLease(8);
+constexpr int kMaxPolls = 600;
+/// Longer than the lease term of 6 s.
+constexpr std::chrono::seconds kLongerThanLease(8);
 
 void WaitUntil(const std::string& what, const std::function<bool()>& holds) {
-  for (int poll = 0; poll < kMostPolls; ++poll) {
+  for (int poll = 0; poll < kMaxPolls; ++poll) {
     if (holds()) return;
     std::this_thread::sleep_for(kPoll);
   }
-  throw std::runtime_error("never came: " + what);
+  throw std::runtime_error("timed out waiting for " + what);
 }
 
 Json Record(const std::string& kind, const std::string& name,
@@ -39,7 +39,7 @@
           {"spec", spec}};
 }
 
-/// A fleet of routers and one plain service that signs lots.
+/// Two routers and one plain service that signs lots, behind a relay.
 struct Signing {
   Signing() {
     this->fleet.AddRouter("casa-a");
@@ -153,24 +153,24 @@
 
 BOOST_FIXTURE_TEST_SUITE(State, Signing)
 
-// The pharmacist's connection breaks after the lot was signed, and the client
-// repeats the call through the other router. The first answer comes again and
-// the register has one entry.
-BOOST_AUTO_TEST_CASE(RepeatThroughTheOtherRouterRunsNothing) {
+// The caller's connection breaks after the lot was signed, and the caller
+// retries through the other router. It gets the first answer again, and the
+// lot is signed once.
+BOOST_AUTO_TEST_CASE(RetryThroughTheOtherRouterRunsNothing) {
   const std::string key = NewId();
   const Answer first = this->Sign(0, key);
   BOOST_TEST(first.status == 200);
-  Answer again;
+  Answer retried;
   WaitUntil("the kept answer", [&] {
-    again = this->Sign(1, key);
-    return again.status == 200;
+    retried = this->Sign(1, key);
+    return retried.status == 200;
   });
-  BOOST_TEST(again.body == first.body);
+  BOOST_TEST(retried.body == first.body);
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// The router dies (SIGKILL) while the service works on the signature. The
-// repeat through the other router must not sign again, and says "unknown".
+// The router is killed (SIGKILL) while the service runs the signature. The
+// retry through the other router must not sign again, and reports "unknown".
 BOOST_AUTO_TEST_CASE(RouterKilledInTheCallSignsOnce) {
   this->ServiceFault({{"delay_ms", 1500}});
   const std::string key = NewId();
@@ -179,15 +179,15 @@
   WaitUntil("the run", [&] { return this->Runs(key) == 1; });
   this->fleet.Router(0).Kill();
   BOOST_TEST(first.get().status == 0);
-  const Answer again = this->Sign(1, key);
-  BOOST_TEST(again.status == 409);
-  BOOST_TEST(this->RanOf(again) == "unknown");
+  const Answer retried = this->Sign(1, key);
+  BOOST_TEST(retried.status == 409);
+  BOOST_TEST(this->RanOf(retried) == "unknown");
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// The store takes the claim, but its answers are lost, several in a row. The
-// router finds its claim by reading back and the signature goes through.
-BOOST_AUTO_TEST_CASE(LostAnswersOfTheStoreCostNothing) {
+// The store writes the claim, but several of its responses in a row are lost.
+// The router finds its claim by reading it back, and the signature succeeds.
+BOOST_AUTO_TEST_CASE(LostStoreResponsesFailNoCall) {
   this->PlatformFault({{"lose_answers", 2}});
   const std::string key = NewId();
   Answer answer = this->Sign(0, key);
@@ -198,10 +198,10 @@
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// The store is down. The signature is refused, nothing ran, and the refusal
-// doesn't claim to know whether an earlier attempt did. When the store is back
-// the repeat signs.
-BOOST_AUTO_TEST_CASE(OutageRefusesTruthfullyAndHeals) {
+// During a store outage the signature is refused and nothing runs. The refusal
+// reports "unknown", since an earlier attempt may have run. After the outage
+// the retry signs.
+BOOST_AUTO_TEST_CASE(RefusalDuringOutageIsAccurateAndTheRetryRuns) {
   const std::string key = NewId();
   this->PlatformFault({{"outage", true}});
   const Answer refused = this->Sign(0, key);
@@ -213,10 +213,10 @@
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// The router is frozen (SIGSTOP) while its claim is on the way, the client
-// repeats through the other router, and the first wakes past the deadline. It
-// must not sign what was given up.
-BOOST_AUTO_TEST_CASE(RouterFrozenInTheClaimSignsOnce) {
+// The router is suspended (SIGSTOP) while its claim is in flight, the caller
+// retries through the other router, and the first resumes after the deadline.
+// It must not run the abandoned signature.
+BOOST_AUTO_TEST_CASE(RouterSuspendedInTheClaimSignsOnce) {
   const std::string key = NewId();
   this->PlatformFault({{"slow_ms", 400}});
   auto first = std::async(std::launch::async,
@@ -228,16 +228,16 @@
     const Answer answer = this->Sign(1, key);
     return answer.status == 200 || answer.status == 409;
   });
-  std::this_thread::sleep_for(kPastTheLease);
+  std::this_thread::sleep_for(kLongerThanLease);
   this->fleet.Router(0).Signal(SIGCONT);
   first.get();
   BOOST_TEST(this->Runs(key) <= 1);
 }
 
-// The endpoint dies at each point of the call: before it read the request,
-// before it ran it, after it ran it. The client repeats through the other
-// router each time; nothing is signed twice.
-BOOST_AUTO_TEST_CASE(EndpointDyingAtAnyPointSignsOnce) {
+// The endpoint closes the connection at each point of the call: before it reads
+// the request, before it runs it, after it has run it. The caller retries
+// through the other router each time; nothing is signed twice.
+BOOST_AUTO_TEST_CASE(EndpointFailingAtAnyPointSignsOnce) {
   for (const char* fault :
        {"close_before_reading", "close_before_run", "close_after_run"}) {
     const std::string key = NewId();
@@ -251,10 +251,10 @@
   }
 }
 
-// Something between router and service forgets the connection: after the
-// request went out no answer ever comes. The call ends as "unknown" at its
-// timeout, and the repeat signs nothing, also when the link works again.
-BOOST_AUTO_TEST_CASE(SilentLinkSignsOnceAtMost) {
+// The link between router and service is blackholed after the request was sent.
+// The call ends as "unknown" at its timeout, and the retry signs nothing, even
+// after the link has recovered.
+BOOST_AUTO_TEST_CASE(BlackholedLinkSignsAtMostOnce) {
   const std::string key = NewId();
   this->ServiceFault({{"delay_ms", 700}});
   auto first = std::async(std::launch::async,
@@ -269,8 +269,9 @@
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// The connection to the endpoint is reset after the request was read; libcurl
-// by itself would send it again. It goes out once, and the refusal is true.
+// The connection to the endpoint is reset after the request was sent. Guards
+// against libcurl's automatic retry: the request is sent once, and the refusal
+// is accurate.
 BOOST_AUTO_TEST_CASE(ResetAfterTheRequestWasReadSignsNothing) {
   const std::string key = NewId();
   this->RelayFault({{"close_after_request", 1}});
@@ -281,8 +282,8 @@
   BOOST_TEST(this->Runs(key) == 0);
 }
 
-// The endpoint refuses before it runs anything. The refusal says "not run", it
-// is true, and the repeat signs.
+// The endpoint refuses the request before running it. The response reports it
+// as not run, accurately, and the retry signs.
 BOOST_AUTO_TEST_CASE(RefusalOfTheEndpointIsNotRun) {
   const std::string key = NewId();
   this->ServiceFault({{"refuse", 1}});
@@ -294,11 +295,11 @@
   BOOST_TEST(this->Runs(key) == 1);
 }
 
-// A caller asks for /drafts/../sign. The record says that drafts may be
-// repeated; the HTTP library on the way folds the path to /sign, the answer is
-// lost, and the router repeats what it takes for a draft: the lot is signed
-// twice (I4).
-BOOST_AUTO_TEST_CASE(FoldedPathDoesNotMakeACallRepeatable) {
+// Guards against a path such as /drafts/../sign that bypasses the rule for
+// /sign: the record marks drafts as idempotent, the HTTP library normalizes the
+// path to /sign, the answer is lost, and the router retries what it takes for a
+// draft, so that the lot is signed twice (I4).
+BOOST_AUTO_TEST_CASE(NormalizedPathDoesNotMakeACallRetryable) {
   const std::uint64_t before = this->Generation(0);
   this->Write(Record("service", "lot-records",
                      {{"calls",
@@ -328,9 +329,10 @@
   BOOST_TEST(by_call.value("POST /sign-twice", 0) == 0);
 }
 
-// The router that accepts records is frozen past its lease. The other takes
-// over and publishes; the first wakes and doesn't bring the old state back.
-BOOST_AUTO_TEST_CASE(FrozenPublisherDoesNotRevert) {
+// The router that accepts records is suspended for longer than its lease. The
+// other takes over and publishes; the first must not revert the state when it
+// resumes.
+BOOST_AUTO_TEST_CASE(SuspendedPublisherDoesNotRevert) {
   std::size_t holder = 2;
   WaitUntil("a holder", [&] {
     for (std::size_t router = 0; router < 2; ++router) {
--- a/test/soak/callers.cc
+++ b/test/soak/callers.cc
@@ -14,9 +14,9 @@
 
 Callers::Callers(PlatformFleet& called, const SoakSettings& settings)
     : fleet(called) {
-  for (std::size_t at = 0; at < settings.callers; ++at) {
-    this->threads.emplace_back([this, at, &settings] {
-      this->Run(at, MixBits(settings.seed) + at, settings.routers);
+  for (std::size_t number = 0; number < settings.callers; ++number) {
+    this->threads.emplace_back([this, number, &settings] {
+      this->Run(number, MixBits(settings.seed) + number, settings.routers);
     });
   }
 }
@@ -27,9 +27,9 @@
   this->threads.clear();
 }
 
-std::vector<Seen> Callers::Stop() {
+std::vector<ObservedRequest> Callers::Stop() {
   this->Join();
-  return std::move(this->seen);
+  return std::move(this->observed);
 }
 
 void Callers::Run(std::size_t number, std::uint64_t seed, std::size_t routers) {
@@ -38,43 +38,44 @@
     const std::string id =
         "caller-" + std::to_string(number) + "-" + std::to_string(count);
     const std::size_t router = random.Below(routers);
-    Seen one = this->CallOnce(id, random(), router);
+    ObservedRequest request = this->CallOnce(id, random(), router);
     const std::lock_guard lock(this->mutex);
-    this->seen.push_back(std::move(one));
+    this->observed.push_back(std::move(request));
   }
 }
 
-Seen Callers::CallOnce(const std::string& id, std::uint64_t draw,
-                       std::size_t router) {
-  Seen one;
-  one.id = id;
-  one.router = router;
-  one.kind = static_cast<RequestKind>(draw % 4);
-  one.sent = Clock::now();
-  switch (one.kind) {
+ObservedRequest Callers::CallOnce(const std::string& id, std::uint64_t draw,
+                                  std::size_t router) {
+  ObservedRequest request;
+  request.id = id;
+  request.router = router;
+  request.kind = static_cast<RequestKind>(draw % 4);
+  request.sent = Clock::now();
+  switch (request.kind) {
     case RequestKind::kRead:
-      one.answer = this->fleet.Plain(router, "/read/" + id, id);
+      request.answer = this->fleet.Plain(router, "/read/" + id, id);
       break;
     case RequestKind::kSign:
-      one.answer = this->fleet.Plain(router, "/sign/" + id, id);
+      request.answer = this->fleet.Plain(router, "/sign/" + id, id);
       break;
     case RequestKind::kSecondCustomer:
-      one.answer = this->fleet.Plain(router, "/read/" + id, id,
-                                     PlatformFleet::kOtherKey);
+      request.answer = this->fleet.Plain(router, "/read/" + id, id,
+                                         PlatformFleet::kOtherKey);
       break;
     case RequestKind::kStream: {
-      // One in four leaves after some events.
+      // One caller in four disconnects after 1 to 10 events.
       const std::uint64_t more = draw / 4;
-      const std::size_t leave_after = more % 4 == 0 ? 1 + more / 4 % 10 : 0;
+      const std::size_t disconnect_after =
+          more % 4 == 0 ? 1 + more / 4 % 10 : 0;
       EventStream stream =
-          this->fleet.Stream(router, id, "/chat/one", leave_after);
-      one.left = leave_after > 0;
-      one.answer = std::move(stream.answer);
-      one.events = std::move(stream.ids);
+          this->fleet.Stream(router, id, "/chat/one", disconnect_after);
+      request.disconnected = disconnect_after > 0;
+      request.answer = std::move(stream.answer);
+      request.events = std::move(stream.ids);
       break;
     }
   }
-  return one;
+  return request;
 }
 
 }  // namespace toucanwharf::soak
--- a/test/soak/callers.h
+++ b/test/soak/callers.h
@@ -18,8 +18,8 @@
 
 enum class RequestKind { kRead, kSign, kStream, kSecondCustomer };
 
-/// One request as its caller saw it.
-struct Seen {
+/// One request and its response, as observed by the caller.
+struct ObservedRequest {
   std::string id;
   RequestKind kind = RequestKind::kRead;
   std::size_t router = 0;
@@ -27,33 +27,34 @@
   process_test::Answer answer;
   /// Events of a stream.
   std::vector<int> events;
-  /// The caller left before the end.
-  bool left = false;
+  /// Whether the caller was to disconnect before the end.
+  bool disconnected = false;
 };
 
-/// Callers that call routers at random, each in a thread of its own, until
-/// they are stopped. They keep calling routers that are being stopped.
+/// Callers that send requests to random routers, each in its own thread, until
+/// they are stopped. They also call routers that are stopping or down.
 /// Thread safety: none; one thread.
 class Callers {
  public:
   Callers(process_test::PlatformFleet& called, const SoakSettings& settings);
-  /// Stops them, if Stop was not called because something threw before.
+  /// Stops the callers if Stop was not called because of an exception.
   ~Callers() { this->Join(); }
   Callers(const Callers&) = delete;
   Callers& operator=(const Callers&) = delete;
 
-  /// Lets them finish what is under way and returns all that they saw.
-  std::vector<Seen> Stop();
+  /// Waits for the requests in flight and returns all requests.
+  std::vector<ObservedRequest> Stop();
 
  private:
   void Join();
   void Run(std::size_t number, std::uint64_t seed, std::size_t routers);
-  Seen CallOnce(const std::string& id, std::uint64_t draw, std::size_t router);
+  ObservedRequest CallOnce(const std::string& id, std::uint64_t draw,
+                           std::size_t router);
 
   process_test::PlatformFleet& fleet;
   std::atomic<bool> stopping{false};
   std::mutex mutex;
-  std::vector<Seen> seen;
+  std::vector<ObservedRequest> observed;
   std::vector<std::thread> threads;
 };
 
--- a/test/soak/checks.h
+++ b/test/soak/checks.h
@@ -9,24 +9,24 @@
 
 namespace toucanwharf::soak {
 
-/// A time in which a customer's key was taken away, as the store acknowledged
-/// it, until it was given back.
-struct Revoked {
+/// Period in which a customer's key was revoked: from the store's
+/// acknowledgement until the key is restored.
+struct RevocationPeriod {
   Clock::time_point from;
   Clock::time_point until;
 };
 
-/// How long after a key was taken away requests with it may still run; the
-/// settings of the fleet's routers say so.
+/// How long after the revocation of a key requests with it may still run.
+/// Equals `bounds.revoke_ms` in the settings of the fleet's routers.
 inline constexpr std::chrono::milliseconds kRevocationBound{2500};
 
-/// Returns what goes against the promises in what callers and endpoints saw,
-/// a line each.
+/// Returns a line for each violation of the router's guarantees in what callers
+/// and endpoints observed.
 /// Thread safety: safe.
-std::vector<std::string> BrokenPromises(
-    const std::vector<Seen>& seen,
+std::vector<std::string> FindViolations(
+    const std::vector<ObservedRequest>& observed,
     const std::vector<standins::fleet::Run>& runs,
-    const std::vector<Revoked>& revoked);
+    const std::vector<RevocationPeriod>& revoked);
 
 }  // namespace toucanwharf::soak
 
