--- a/test/soak/plan.h
+++ b/test/soak/plan.h
@@ -9,39 +9,39 @@
 #include "standins/fleet/endpoints.h"
 #include "standins/fleet/store.h"
 
-/// A soak: real routers as processes, faults from outside them drawn from a
-/// seed, and checks of what callers and endpoints see.
+/// A soak test: real routers as processes, external faults drawn from a seed,
+/// and checks of what callers and endpoints observe.
 namespace toucanwharf::soak {
 
 enum class FaultKind {
-  /// The router is killed, and started again.
+  /// The router is killed (SIGKILL), and restarted.
   kKill,
-  /// It is suspended, and goes on.
+  /// The router is suspended (SIGSTOP), and resumed.
   kSuspend,
-  /// It is told to stop, and started again.
+  /// The router is asked to stop (SIGTERM), and restarted.
   kStop,
-  /// It gets SIGHUP.
+  /// The router receives SIGHUP.
   kReload,
-  /// The store misbehaves towards one router.
+  /// The store has a fault in its calls from one router.
   kStore,
-  /// Connections between one router and the store are delayed, reset or fall
-  /// silent in a relay.
+  /// A relay delays, resets or blackholes the connections between one router
+  /// and the store.
   kLinkDelayed,
   kLinkReset,
-  kLinkSilent,
-  /// An endpoint misbehaves.
+  kLinkBlackholed,
+  /// An endpoint has a fault.
   kEndpoint,
-  /// The second customer's key is taken away, and given back.
+  /// The second customer's key is revoked, and restored.
   kRevocation,
 };
 
-/// One fault, in milliseconds since the callers began.
+/// One fault. Times are in milliseconds since the callers started.
 struct Fault {
   FaultKind kind = FaultKind::kKill;
-  /// Number of the router, where it is one.
+  /// Index of the router, for faults that concern one.
   std::size_t router = 0;
   std::int64_t at_ms = 0;
-  std::int64_t for_ms = 0;
+  std::int64_t duration_ms = 0;
   standins::fleet::StoreFault store = standins::fleet::StoreFault::kNone;
   standins::fleet::EndpointFault endpoint_fault =
       standins::fleet::EndpointFault::kNone;
@@ -50,23 +50,24 @@
   friend bool operator==(const Fault&, const Fault&) = default;
 };
 
-/// What to play.
+/// Settings of a soak.
 struct SoakSettings {
   std::uint64_t seed = 1;
   std::size_t routers = 4;
   std::size_t callers = 8;
-  std::int64_t length_ms = 12000;
-  /// Mean time between two faults: several overlap.
-  std::int64_t fault_every_ms = 500;
+  std::int64_t duration_ms = 12000;
+  /// Mean time between the starts of two faults. It is shorter than most
+  /// faults, so several overlap.
+  std::int64_t mean_fault_interval_ms = 500;
 
   friend bool operator==(const SoakSettings&, const SoakSettings&) = default;
 };
 
-/// Returns the faults of \p settings, by time; the same for the same settings.
+/// Returns the faults for \p settings, ordered by time. Deterministic.
 /// Thread safety: safe.
 std::vector<Fault> PlanFaults(const SoakSettings& settings);
 
-/// Returns \p fault for a log. Thread safety: safe.
+/// Returns \p fault as a line of a log. Thread safety: safe.
 std::string Describe(const Fault& fault);
 
 }  // namespace toucanwharf::soak
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -20,27 +20,27 @@
 using standins::fleet::StoreFault;
 using std::chrono::milliseconds;
 
-/// A router may take this long to serve again after the last fault.
-constexpr int kRecoveryMillis = 12000;
+/// Time within which a router must serve again after the last fault.
+constexpr int kRecoveryTimeoutMs = 12000;
 
-/// A fault that begins or ends.
-struct Moment {
+/// The begin or the end of a fault.
+struct FaultEvent {
   std::int64_t at_ms = 0;
   bool begins = false;
   Fault fault;
 };
 
-std::vector<Moment> MomentsOf(const std::vector<Fault>& faults) {
-  std::vector<Moment> moments;
+std::vector<FaultEvent> FaultEventsOf(const std::vector<Fault>& faults) {
+  std::vector<FaultEvent> events;
   for (const Fault& fault : faults) {
-    moments.push_back({fault.at_ms, true, fault});
-    moments.push_back({fault.at_ms + fault.for_ms, false, fault});
+    events.push_back({fault.at_ms, true, fault});
+    events.push_back({fault.at_ms + fault.duration_ms, false, fault});
   }
-  std::stable_sort(moments.begin(), moments.end(),
-                   [](const Moment& left, const Moment& right) {
-                     return left.at_ms < right.at_ms;
+  std::stable_sort(events.begin(), events.end(),
+                   [](const FaultEvent& lhs, const FaultEvent& rhs) {
+                     return lhs.at_ms < rhs.at_ms;
                    });
-  return moments;
+  return events;
 }
 
 /// Returns the last lines of the file \p path.
@@ -60,31 +60,31 @@
   explicit Soak(const SoakSettings& chosen)
       : settings(chosen), fleet(chosen.routers, false, true) {}
 
-  SoakEnd Run() {
+  SoakResult Run() {
     Callers callers(this->fleet, this->settings);
-    const auto begun = Clock::now();
-    for (const Moment& moment : MomentsOf(PlanFaults(this->settings))) {
-      std::this_thread::sleep_until(begun + milliseconds(moment.at_ms));
+    const auto start = Clock::now();
+    for (const FaultEvent& event : FaultEventsOf(PlanFaults(this->settings))) {
+      std::this_thread::sleep_until(start + milliseconds(event.at_ms));
       this->CheckProcesses();
-      moment.begins ? this->Begin(moment.fault) : this->End(moment.fault);
+      event.begins ? this->Begin(event.fault) : this->End(event.fault);
     }
-    const std::vector<Seen> seen = callers.Stop();
+    const std::vector<ObservedRequest> observed = callers.Stop();
     this->CheckRecovery();
-    return this->Judge(seen);
+    return this->Judge(observed);
   }
 
  private:
   void Begin(const Fault& fault) {
     switch (fault.kind) {
       case FaultKind::kKill:
-        this->ended.insert(fault.router);
+        this->stopped_routers.insert(fault.router);
         this->fleet.Router(fault.router).Kill();
         return;
       case FaultKind::kSuspend:
         this->fleet.Router(fault.router).Signal(SIGSTOP);
         return;
       case FaultKind::kStop:
-        this->ended.insert(fault.router);
+        this->stopped_routers.insert(fault.router);
         this->fleet.Router(fault.router).Signal(SIGTERM);
         return;
       case FaultKind::kReload:
@@ -100,7 +100,7 @@
         this->fleet.StoreLink(fault.router)
             .Set({{"cut", true}, {"refuse", true}});
         return;
-      case FaultKind::kLinkSilent:
+      case FaultKind::kLinkBlackholed:
         this->fleet.StoreLink(fault.router).Set({{"silence", "all"}});
         return;
       case FaultKind::kEndpoint:
@@ -116,9 +116,9 @@
     switch (fault.kind) {
       case FaultKind::kKill:
       case FaultKind::kStop:
-        // What is still under way is killed, as the platform would.
+        // Kills the process if it is still stopping, as the platform would.
         this->fleet.StartRouter(fault.router);
-        this->ended.erase(fault.router);
+        this->stopped_routers.erase(fault.router);
         return;
       case FaultKind::kSuspend:
         this->fleet.Router(fault.router).Signal(SIGCONT);
@@ -128,14 +128,14 @@
         return;
       case FaultKind::kLinkDelayed:
       case FaultKind::kLinkReset:
-      case FaultKind::kLinkSilent:
+      case FaultKind::kLinkBlackholed:
         this->fleet.StoreLink(fault.router).Set({{"heal", true}});
         return;
       case FaultKind::kEndpoint:
         this->SetEndpoint(fault.endpoint, EndpointFault::kNone);
         return;
       case FaultKind::kRevocation:
-        this->GiveBack();
+        this->RestoreKey();
         return;
       case FaultKind::kReload:
         return;
@@ -143,44 +143,47 @@
   }
 
   void SetStore(std::size_t router, StoreFault fault) {
-    this->fleet.On([&] { this->fleet.Store().SetFault(router, fault); });
+    this->fleet.RunOnLoop([&] { this->fleet.Store().SetFault(router, fault); });
   }
 
   void SetEndpoint(const std::string& endpoint, EndpointFault fault) {
-    this->fleet.On([&] { this->fleet.Endpoints().SetFault(endpoint, fault); });
+    this->fleet.RunOnLoop(
+        [&] { this->fleet.Endpoints().SetFault(endpoint, fault); });
   }
 
   void Revoke() {
-    if (this->key_taken) return;
-    this->key_taken = true;
+    if (this->key_revoked) return;
+    this->key_revoked = true;
     this->fleet.Configure({PlatformFleet::kKey});
     this->revoked.push_back({Clock::now(), Clock::time_point::max()});
   }
 
-  void GiveBack() {
-    if (!std::exchange(this->key_taken, false)) return;
+  void RestoreKey() {
+    if (!std::exchange(this->key_revoked, false)) return;
     this->revoked.back().until = Clock::now();
     this->fleet.Configure({PlatformFleet::kKey, PlatformFleet::kOtherKey});
   }
 
-  /// No router may end but by a fault of ours.
+  /// Records a violation for each router that ended without an injected fault,
+  /// and restarts it.
   void CheckProcesses() {
-    for (std::size_t at = 0; at < this->settings.routers; ++at) {
-      if (this->ended.contains(at)) continue;
-      const std::string how = this->fleet.Router(at).Ended();
-      if (how.empty()) continue;
-      this->broken.push_back("router " + std::to_string(at) +
-                             " ended by itself: " + how);
-      for (const std::string& line : LastLines(this->fleet.LogOf(at))) {
-        this->broken.push_back("  its log: " + line);
+    for (std::size_t router = 0; router < this->settings.routers; ++router) {
+      if (this->stopped_routers.contains(router)) continue;
+      const std::string exit_reason =
+          this->fleet.Router(router).ExitDescription();
+      if (exit_reason.empty()) continue;
+      this->violations.push_back("router " + std::to_string(router) +
+                                 " ended unexpectedly: " + exit_reason);
+      for (const std::string& line : LastLines(this->fleet.LogOf(router))) {
+        this->violations.push_back("  its log: " + line);
       }
-      this->fleet.StartRouter(at);
+      this->fleet.StartRouter(router);
     }
   }
 
   bool Serves(std::size_t router) {
-    const std::string id =
-        "after-" + std::to_string(router) + "-" + std::to_string(++this->looks);
+    const std::string id = "after-" + std::to_string(router) + "-" +
+                           std::to_string(++this->probes);
     const auto stream = this->fleet.Stream(router, id);
     const bool model = stream.answer.status == http::kOk &&
                        stream.ids.size() == standins::fleet::Endpoints::kEvents;
@@ -190,52 +193,57 @@
   }
 
   void CheckRecovery() {
-    for (std::size_t at = 0; at < this->settings.routers; ++at) {
+    for (std::size_t router = 0; router < this->settings.routers; ++router) {
       const bool serves = PlatformFleet::Eventually(
-          [&] { return this->Serves(at); }, kRecoveryMillis);
+          [&] { return this->Serves(router); }, kRecoveryTimeoutMs);
       if (serves) continue;
-      this->broken.push_back("router " + std::to_string(at) +
-                             " does not serve again");
+      this->violations.push_back("router " + std::to_string(router) +
+                                 " does not serve again");
     }
     const bool idle = PlatformFleet::Eventually([&] {
       std::size_t running = 0;
-      this->fleet.On([&] { running = this->fleet.Endpoints().Running(); });
+      this->fleet.RunOnLoop(
+          [&] { running = this->fleet.Endpoints().RunningStreams(); });
       return running == 0;
     });
-    if (!idle) this->broken.push_back("engines work for callers that are gone");
+    if (!idle) this->violations.push_back("answers still run without a caller");
   }
 
-  SoakEnd Judge(const std::vector<Seen>& seen) {
+  SoakResult Judge(const std::vector<ObservedRequest>& observed) {
     std::vector<standins::fleet::Run> runs;
-    std::vector<std::string> violations;
-    this->fleet.On([&] {
+    std::vector<std::string> endpoint_violations;
+    this->fleet.RunOnLoop([&] {
       runs = this->fleet.Endpoints().Runs();
-      violations = this->fleet.Endpoints().Violations();
+      endpoint_violations = this->fleet.Endpoints().Violations();
     });
-    SoakEnd end;
-    end.requests = seen.size();
-    end.answered = static_cast<std::size_t>(std::count_if(
-        seen.begin(), seen.end(),
-        [](const Seen& one) { return one.answer.status == http::kOk; }));
-    end.broken = BrokenPromises(seen, runs, this->revoked);
-    for (const auto* more : {&violations, &this->broken}) {
-      end.broken.insert(end.broken.end(), more->begin(), more->end());
+    SoakResult result;
+    result.requests = observed.size();
+    result.answered = static_cast<std::size_t>(std::count_if(
+        observed.begin(), observed.end(), [](const ObservedRequest& request) {
+          return request.answer.status == http::kOk;
+        }));
+    result.violations = FindViolations(observed, runs, this->revoked);
+    for (const auto* more : {&endpoint_violations, &this->violations}) {
+      result.violations.insert(result.violations.end(), more->begin(),
+                               more->end());
     }
-    return end;
+    return result;
   }
 
   SoakSettings settings;
   PlatformFleet fleet;
-  /// Routers that a fault ended, until they are started again.
-  std::set<std::size_t> ended;
-  bool key_taken = false;
-  std::vector<Revoked> revoked;
-  std::vector<std::string> broken;
-  int looks = 0;
+  /// Routers that a fault stopped, until they are restarted.
+  std::set<std::size_t> stopped_routers;
+  bool key_revoked = false;
+  std::vector<RevocationPeriod> revoked;
+  std::vector<std::string> violations;
+  int probes = 0;
 };
 
 }  // namespace
 
-SoakEnd RunSoak(const SoakSettings& settings) { return Soak(settings).Run(); }
+SoakResult RunSoak(const SoakSettings& settings) {
+  return Soak(settings).Run();
+}
 
 }  // namespace toucanwharf::soak
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -9,17 +9,17 @@
 
 namespace toucanwharf::soak {
 
-/// What a soak saw.
-struct SoakEnd {
+/// Result of a soak.
+struct SoakResult {
   std::size_t requests = 0;
   std::size_t answered = 0;
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
 };
 
-/// Plays \p settings: starts a fleet, lets callers call while the faults come
-/// and go, ends all faults, and checks the promises and that the fleet serves
-/// again. Thread safety: one at a time.
-SoakEnd RunSoak(const SoakSettings& settings);
+/// Runs a soak: starts a fleet, injects and ends the faults while callers send
+/// requests, then checks the guarantees and that the fleet serves again.
+/// Thread safety: one at a time.
+SoakResult RunSoak(const SoakSettings& settings);
 
 }  // namespace toucanwharf::soak
 
--- a/unittests/fakes/object_map.h
+++ b/unittests/fakes/object_map.h
@@ -10,19 +10,19 @@
 
 namespace toucanwharf::fakes {
 
-/// What may go wrong with one call.
+/// Fault injected into one call.
 enum class Fault { kNone, kOutage, kAnswerLost, kStale, kLate };
 inline constexpr int kFaultCount = 5;
 
-/// The platform's object API as a map with versions. It keeps the version
-/// before the last, so that a read can be stale, and holds late writes back
-/// until ApplyLateWrites().
+/// A fake of the platform's object API: a map with versions. It retains the
+/// previous version, so that a read can be stale, and delays late writes until
+/// ApplyLateWrites().
 class ObjectMap {
  public:
   store::WriteAnswer Write(const store::Write& write, Fault fault) {
     if (fault == Fault::kOutage) return {};
     if (fault == Fault::kLate) {
-      this->late.push_back(write);
+      this->late_writes.push_back(write);
       return {};
     }
     const store::WriteAnswer answer = this->Put(write);
@@ -59,13 +59,13 @@
     return listing;
   }
 
-  /// Lets writes that were held back arrive now, oldest first.
+  /// Applies the delayed writes, oldest first.
   void ApplyLateWrites() {
-    for (const store::Write& write : this->late) this->Put(write);
-    this->late.clear();
+    for (const store::Write& write : this->late_writes) this->Put(write);
+    this->late_writes.clear();
   }
 
-  std::uint64_t WritesApplied() const { return this->writes_taken; }
+  std::uint64_t WritesApplied() const { return this->writes_applied; }
 
  private:
   static store::ReadAnswer Missing() {
@@ -83,7 +83,7 @@
     if (current != write.if_version) {
       return {store::WriteStatus::kConflict, current};
     }
-    ++this->writes_taken;
+    ++this->writes_applied;
     versions.push_back(
         store::Object{write.key, ++this->revision, write.writer, write.value});
     if (versions.size() > 2) versions.erase(versions.begin());
@@ -91,9 +91,9 @@
   }
 
   std::map<store::ObjectKey, std::vector<store::Object>> history;
-  std::vector<store::Write> late;
+  std::vector<store::Write> late_writes;
   std::uint64_t revision = 0;
-  std::uint64_t writes_taken = 0;
+  std::uint64_t writes_applied = 0;
 };
 
 }  // namespace toucanwharf::fakes
--- a/unittests/standin_programs/service_test.cc
+++ b/unittests/standin_programs/service_test.cc
@@ -42,7 +42,7 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(EachFaultLeavesTheRunsThatItSays, RelayedService) {
+BOOST_FIXTURE_TEST_CASE(EachFaultHasItsSpecifiedRuns, RelayedService) {
   const auto sign = [this] {
     return this->Call(this->server.Port(), "POST", "/lots", {{"lot", 7}});
   };
@@ -60,7 +60,7 @@
   BOOST_TEST(this->Total() == 2u);
 }
 
-BOOST_FIXTURE_TEST_CASE(TheRelayFailsAsTold, RelayedService) {
+BOOST_FIXTURE_TEST_CASE(TheRelayInjectsTheRequestedFaults, RelayedService) {
   const auto sign = [this] {
     return this->Call(this->relay_port, "POST", "/lots", {{"lot", 7}});
   };
@@ -77,7 +77,7 @@
   BOOST_TEST(sign().status == 200);
 }
 
-BOOST_FIXTURE_TEST_CASE(OpenConnectionsGoSilentWhileNewOnesWork,
+BOOST_FIXTURE_TEST_CASE(OpenConnectionsAreBlackholedWhileNewOnesWork,
                         RelayedService) {
   const std::string url =
       "http://127.0.0.1:" + std::to_string(this->relay_port) + "/lots";
--- a/unittests/standins/token_model_test.cc
+++ b/unittests/standins/token_model_test.cc
@@ -38,7 +38,7 @@
   std::vector<std::string> tokens = whole;
   tokens.resize(kept);
   while (tokens.size() < whole.size()) {
-    const std::uint64_t first = FirstState(seed, prompt, tokens);
+    const std::uint64_t first = InitialState(seed, prompt, tokens);
     tokens.push_back(
         TokenOf(RunLayers(first, 0, kLayers, HashWeights(kWeights))));
   }
