--- a/test/process/fixture.h
+++ b/test/process/fixture.h
@@ -117,8 +117,8 @@
 
 /// The platform, engines and routers of one test, all on free loopback ports.
 /// It has one model "qa-model", version "v1", one pipeline "qa", and one
-/// customer with key `kCustomerKey`. Thread safety: `Stream` may run in several
-/// threads; the rest in one.
+/// customer with key `kCustomerKey`.
+/// Thread safety: `Stream` may run in several threads; the rest in one.
 class Fleet {
  public:
   static constexpr const char* kCustomerKey = "customer-key-of-the-tests";
