--- a/include/toucanwharf/instance/adapter.h
+++ b/include/toucanwharf/instance/adapter.h
@@ -106,7 +106,7 @@
   { A::RerouteRequest(reroute) } -> std::same_as<http::Request>;
   { A::ToRerouteFault(text) } -> std::same_as<std::string>;
   { A::PathText(reroute.stages) } -> std::same_as<std::string>;
-  { A::ToOrderEnd(status) } -> std::same_as<placement::OrderOutcome>;
+  { A::ToOrderOutcome(status) } -> std::same_as<placement::OrderOutcome>;
   { A::IsReadinessRequest(target) } -> std::same_as<bool>;
   { A::ToEntryRequest(target) } -> std::same_as<std::optional<EntryRequest>>;
   { A::EntryResponse(addresses, length) } -> std::same_as<std::string>;
--- a/include/toucanwharf/instance/placement_driver.h
+++ b/include/toucanwharf/instance/placement_driver.h
@@ -426,19 +426,19 @@
         this->times.call_timeout,
         [this, id = order.engine](
             const http::CallResult& result, const http::ResponseHead& head,
-            const std::string&) { this->OnOrderEnd(id, result, head); });
+            const std::string&) { this->OnOrderOutcome(id, result, head); });
   }
 
-  void OnOrderEnd(const std::string& id, const http::CallResult& result,
-                  const http::ResponseHead& head) {
-    placement::OrderOutcome end = placement::OrderOutcome::kUnknown;
+  void OnOrderOutcome(const std::string& id, const http::CallResult& result,
+                      const http::ResponseHead& head) {
+    placement::OrderOutcome outcome = placement::OrderOutcome::kUnknown;
     if (result.end == http::CallEnd::kNotConnected) {
-      end = placement::OrderOutcome::kRefused;
+      outcome = placement::OrderOutcome::kRefused;
     } else if (result.end == http::CallEnd::kComplete) {
-      end = A::ToOrderEnd(head.status);
+      outcome = A::ToOrderOutcome(head.status);
     }
-    this->order_tracker.OnOutcome(id, end, this->loop.Now());
-    if (end == placement::OrderOutcome::kAccepted) return;
+    this->order_tracker.OnOutcome(id, outcome, this->loop.Now());
+    if (outcome == placement::OrderOutcome::kAccepted) return;
     this->logger.Write(
         eventlog::Level::kNotable, "order_not_accepted",
         eventlog::Fields().Text("endpoint", id).Count("status", head.status),
--- a/unittests/adapter/adapter_test.cc
+++ b/unittests/adapter/adapter_test.cc
@@ -154,9 +154,9 @@
                                         {"i-2", "10.0.0.2:8", {20, 80}}}) ==
              "10.0.0.1:8=0-20,10.0.0.2:8=20-80");
   using placement::OrderOutcome;
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(202) == OrderOutcome::kAccepted);
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(409) == OrderOutcome::kRefused);
-  BOOST_CHECK(PlatformAdapter::ToOrderEnd(503) == OrderOutcome::kUnknown);
+  BOOST_CHECK(PlatformAdapter::ToOrderOutcome(202) == OrderOutcome::kAccepted);
+  BOOST_CHECK(PlatformAdapter::ToOrderOutcome(409) == OrderOutcome::kRefused);
+  BOOST_CHECK(PlatformAdapter::ToOrderOutcome(503) == OrderOutcome::kUnknown);
 }
 
 BOOST_AUTO_TEST_CASE(EntryAnswerHasAddressesAndTime) {
