--- a/lib/command/explain_subcommand.cc
+++ b/lib/command/explain_subcommand.cc
@@ -37,7 +37,8 @@
     return;
   }
   PrintEntries(out, "what happened:", explanation.steps);
-  PrintEntries(out, "state changes of its instance:", explanation.state_changes);
+  PrintEntries(out,
+               "state changes of its instance:", explanation.state_changes);
   out << "likely cause: " << explanation.cause << "\n";
 }
 
